--- a/bench/Decisions/DecisionTime.cpp
+++ b/bench/Decisions/DecisionTime.cpp
@@ -69,10 +69,10 @@
         choice_->onEnd({ended.endpoint, ended.request, true, Millis(30), 300}, now_);
         return nextItem(number_++);
     }
-    ChoiceOutcome choose(const WorkItem &item) { return choice_->choose(item, {}, now_); }
+    SelectionOutcome choose(const WorkItem &item) { return choice_->choose(item, {}, now_); }
     void begin(const WorkItem &item)
     {
-        const EndpointId endpoint = std::get<Chosen>(choose(item)).endpoint;
+        const EndpointId endpoint = std::get<SelectedEndpoint>(choose(item)).endpoint;
         choice_->onSent(endpoint, item, now_);
         choice_->onFirstToken(endpoint, item.request, now_ + Millis(30));
         open_.push_back({endpoint, item.request});
--- a/bench/Decisions/LoadsBench.cpp
+++ b/bench/Decisions/LoadsBench.cpp
@@ -31,9 +31,9 @@
 
 std::vector<Policy> policies(const FleetSettings &fleet)
 {
-    EndpointChoiceSettings choice;
-    choice.routers = fleet.routers;
-    EndpointChoiceSettings pureAffinity = choice;
+    EndpointSelectorSettings choice;
+    choice.routerCount = fleet.routers;
+    EndpointSelectorSettings pureAffinity = choice;
     pureAffinity.boundFactor = 1e9;
     Policy unbounded = sequoiagatePolicy({}, pureAffinity);
     unbounded.name = "sequoiagate, unbounded affinity";
--- a/bench/Escrow/Trial.cpp
+++ b/bench/Escrow/Trial.cpp
@@ -206,11 +206,11 @@
         host.outbox.push_back(std::move(append->record));
         return true;
     }
-    askWitness(host, std::get<AskWindowAction>(action));
+    askWitness(host, std::get<RequestWindowAction>(action));
     return true;
 }
 
-void Trial::askWitness(Host &host, const AskWindowAction &ask)
+void Trial::askWitness(Host &host, const RequestWindowAction &ask)
 {
     Host *witness = findHost(ask.witness);
     if (!witness || !reaches(host, *witness)) {
@@ -226,7 +226,7 @@
         if (const auto *total = std::get_if<uint64_t>(&outcome)) {
             host.holders[index]->onWindow(ask.grant, ask.witness, *total, now_);
         } else {
-            const bool final = !std::get<Verdict>(outcome).comeBackAt;
+            const bool final = !std::get<Verdict>(outcome).retryAt;
             host.holders[index]->onWindowRefused(ask.grant, ask.witness, final, now_);
         }
     }
@@ -396,7 +396,7 @@
         const ReserveOutcome outcome =
                 holder.reserve(reservationOf(index), request.reserve, witnesses, host.fold,
                                !cutOff(host.domain), now_);
-        if (!std::holds_alternative<ReserveLater>(outcome)) {
+        if (!std::holds_alternative<ReservePending>(outcome)) {
             return std::holds_alternative<ReservationDraws>(outcome);
         }
         exchange();
@@ -435,7 +435,7 @@
     for (std::size_t index = 0; index < workspaces_.size(); ++index) {
         uint64_t known = spent_[index];
         for (const Host &host : hosts_) {
-            known += host.alive ? host.holders[index]->leftTokens() : 0;
+            known += host.alive ? host.holders[index]->unreservedTokens() : 0;
         }
         for (const auto &[end, running] : running_) {
             const Request &request = day_.requests[running.request];
--- a/bench/Escrow/Trial.h
+++ b/bench/Escrow/Trial.h
@@ -85,7 +85,7 @@
     void exchange();
     bool exchangeOnce();
     bool perform(Host &host, GrantAction &action);
-    void askWitness(Host &host, const AskWindowAction &ask);
+    void askWitness(Host &host, const RequestWindowAction &ask);
     bool appendAll(Host &host);
     bool readAll(Host &host);
     void tick();
--- a/include/sequoiagate/Base/Statechart.h
+++ b/include/sequoiagate/Base/Statechart.h
@@ -58,14 +58,14 @@
 };
 
 /// One thing's position in a chart. Not thread safe.
-class StatechartPosition
+class StatechartInstance
 {
 public:
     /// \pre chart outlives this.
-    explicit StatechartPosition(const Statechart &chart) : chart_(&chart), state_(chart.initial())
+    explicit StatechartInstance(const Statechart &chart) : chart_(&chart), state_(chart.initial())
     {}
     const std::string &state() const { return state_; }
-    bool ended() const { return chart_->isFinal(state_); }
+    bool isFinished() const { return chart_->isFinal(state_); }
     void handle(std::string_view event) { state_ = chart_->next(state_, event); }
 
 private:
--- a/include/sequoiagate/Base/Verdict.h
+++ b/include/sequoiagate/Base/Verdict.h
@@ -62,8 +62,8 @@
 {
     Execution execution = Execution::NotRun;
     Reason reason = Reason::None;
-    std::string detail;                ///< one sentence for people, lower case
-    std::optional<Instant> comeBackAt; ///< when asking again makes sense; nullopt: it doesn't
+    std::string detail;             ///< one sentence for people, lower case
+    std::optional<Instant> retryAt; ///< when asking again makes sense; nullopt: it doesn't
 };
 
 /// Carries a verdict through code that can't go on.
--- a/include/sequoiagate/Config/ConfigFold.h
+++ b/include/sequoiagate/Config/ConfigFold.h
@@ -30,7 +30,7 @@
     FoldResult apply(const wire::Record &record, uint64_t offset);
     /// Takes a peer's or a checkpoint's state if it is newer. A version never goes
     /// down. \returns whether it was taken.
-    bool takeNewer(const wire::ConfigState &state);
+    bool adoptIfNewer(const wire::ConfigState &state);
 
     /// The state as a checkpoint: equal states give equal bytes.
     const wire::ConfigState &state() const { return state_; }
@@ -41,9 +41,9 @@
     std::optional<FoldOutcome> outcomeOf(const Incarnation &writer, uint64_t sequence) const;
 
     /// nullptr: unknown. Pointers hold until the next apply or takeNewer.
-    const wire::WorkspaceConfig *workspace(const WorkspaceId &workspace) const;
+    const wire::WorkspaceConfig *findWorkspace(const WorkspaceId &workspace) const;
     /// The workspace whose API key has this hex SHA-256.
-    const wire::WorkspaceConfig *workspaceOfKeyHash(const std::string &keyHash) const;
+    const wire::WorkspaceConfig *findWorkspaceByKeyHash(const std::string &keyHash) const;
 
     static constexpr std::size_t OutcomesKept = 1024;
     static constexpr int HistoryKept = 128; ///< versions; part of the fold
--- a/include/sequoiagate/Config/ServingConfig.h
+++ b/include/sequoiagate/Config/ServingConfig.h
@@ -37,41 +37,41 @@
     std::string pathPrefix; ///< begins and ends with a slash
     RouteKind kind = RouteKind::NonIdempotent;
     std::vector<WeightedService> services;
-    Interval timeout = std::chrono::seconds(30);  ///< longest time to the answer's end
-    Interval objective = std::chrono::seconds(1); ///< to the first event, or the answer
-    Interval pauseObjective{};                    ///< longest pause between two events
-    uint32_t urgency = 5;                         ///< 0 is the most urgent
-    uint32_t mostEndpoints = 1;                   ///< to which one attempt of a caller may be sent
-    bool needsKey = true;
-    bool resumable = false; ///< a stream that another endpoint may take up
-    bool byPrompt = false;  ///< its requests say what their prompts consist of
+    Interval timeout = std::chrono::seconds(30);      ///< longest time to the answer's end
+    Interval latencyTarget = std::chrono::seconds(1); ///< to the first event, or the answer
+    Interval eventGapTarget{};                        ///< longest pause between two events
+    uint32_t priority = 5;                            ///< 0 is the most urgent
+    uint32_t maxAttempts = 1; ///< to which one attempt of a caller may be sent
+    bool requiresApiKey = true;
+    bool resumable = false;      ///< a stream that another endpoint may take up
+    bool promptAffinity = false; ///< its requests say what their prompts consist of
 };
 
 /// What the endpoints of a service have in common.
-struct ServiceTerms
+struct ServiceSpec
 {
     ServiceId name;
     std::string healthPath;
-    uint32_t mostConnections = 0; ///< one endpoint accepts, from all callers together
-    uint32_t tokensPerEvent = 1;  ///< 0 for a plain service
-    bool engine = false;
+    uint32_t maxConnections = 0; ///< one endpoint accepts, from all callers together
+    uint32_t tokensPerEvent = 1; ///< 0 for a plain service
+    bool isModelEngine = false;
 };
 
-struct WorkspaceTerms
+struct WorkspaceSpec
 {
     WorkspaceId name;
     std::vector<std::string> keys;
-    uint32_t urgency = 5; ///< goes before the route's; 0 is the most urgent
-    bool ownUrgency = false;
+    uint32_t priority = 5; ///< goes before the route's; 0 is the most urgent
+    bool overridesPriority = false;
     uint64_t prepaidTokens = 0;
-    bool prepaid = false; ///< false: its spend isn't bounded
+    bool isPrepaid = false; ///< false: its spend isn't bounded
 };
 
 /// What a caller may send, and how long it may take or stay idle.
 struct CallerLimits
 {
-    uint32_t headerBytes = 16 * 1024;
-    uint64_t bodyBytes = 4 * 1024 * 1024;
+    uint32_t maxHeaderBytes = 16 * 1024;
+    uint64_t maxBodyBytes = 4 * 1024 * 1024;
     Interval headerTimeout = std::chrono::seconds(3);
     Interval idleTimeout = std::chrono::seconds(15);
 };
@@ -83,18 +83,18 @@
     uint64_t version = 0;
     CallerLimits limits;
     std::vector<Route> routes;
-    std::vector<ServiceTerms> services;
-    std::vector<WorkspaceTerms> workspaces;
+    std::vector<ServiceSpec> services;
+    std::vector<WorkspaceSpec> workspaces;
 
     /// Builds the look-up tables. Call once, after the fields are filled in.
-    void index();
+    void buildIndexes();
     /// The route of \p host with the longest prefix that begins \p path, or nullptr.
     /// \param host as the caller sent it, a port included
-    const Route *route(std::string_view host, std::string_view path) const;
+    const Route *findRoute(std::string_view host, std::string_view path) const;
     /// Whose key that is, or nullptr.
-    const WorkspaceTerms *workspaceOfKey(const std::string &key) const;
-    const WorkspaceTerms *workspace(const WorkspaceId &name) const;
-    const ServiceTerms *service(const ServiceId &name) const;
+    const WorkspaceSpec *findWorkspaceByKey(const std::string &key) const;
+    const WorkspaceSpec *findWorkspace(const WorkspaceId &name) const;
+    const ServiceSpec *findService(const ServiceId &name) const;
 
 private:
     std::unordered_map<std::string, std::size_t> routeByPlace_; ///< host and prefix joined
--- a/include/sequoiagate/Config/Sheet.h
+++ b/include/sequoiagate/Config/Sheet.h
@@ -20,7 +20,7 @@
 namespace sequoiagate {
 
 /// What is wrong, and where a person finds it in the file.
-struct SheetFault
+struct SheetError
 {
     std::size_t line = 0; ///< from 1, as an editor counts; 0: the file as a whole
     std::string column;   ///< the header's name; empty: the line as a whole
@@ -28,10 +28,10 @@
 };
 
 /// In the order of their lines.
-using SheetFaults = std::vector<SheetFault>;
+using SheetErrors = std::vector<SheetError>;
 
 /// "line 3, column budget_tokens: ...". Thread safe.
-std::string describe(const SheetFault &fault);
+std::string describe(const SheetError &fault);
 
 struct SheetTopUp
 {
@@ -58,20 +58,20 @@
     std::vector<SheetWorkspace> workspaces; ///< in the order of their first rows
 };
 
-using SheetOutcome = std::variant<Sheet, SheetFaults>;
+using ParseSheetResult = std::variant<Sheet, SheetErrors>;
 
 /// Reads the bytes of a CSV file. Thread safe. \returns the sheet, or all faults
 /// (never an empty list), in which case nothing of it may be put into force.
-SheetOutcome parseSheet(std::string_view bytes);
+ParseSheetResult parseSheet(std::string_view bytes);
 
-using SheetChangeOutcome = std::variant<wire::ConfigChange, SheetFaults>;
+using SheetChangeResult = std::variant<wire::ConfigChange, SheetErrors>;
 
 /// What \p sheet changes of \p state, as one change built on its version. A sheet
 /// that is in force already gives a change without workspaces, which needn't be
 /// appended. Workspaces that the sheet doesn't name stay as they are. Thread safe.
 /// \returns faults if a top-up id is known with another number of tokens.
-SheetChangeOutcome changeFor(const Sheet &sheet, const wire::ConfigState &state,
-                             const std::string &author, const std::string &note);
+SheetChangeResult makeConfigChange(const Sheet &sheet, const wire::ConfigState &state,
+                                   const std::string &author, const std::string &note);
 
 } // namespace sequoiagate
 
--- a/include/sequoiagate/Decisions/Admission.h
+++ b/include/sequoiagate/Decisions/Admission.h
@@ -58,7 +58,7 @@
 #include "sequoiagate/Base/Verdict.h"
 #include "sequoiagate/Decisions/Estimates.h"
 #include "sequoiagate/Decisions/FairQueue.h"
-#include "sequoiagate/Decisions/StartLimit.h"
+#include "sequoiagate/Decisions/PrefillLimit.h"
 #include "sequoiagate/Decisions/WorkItem.h"
 
 namespace sequoiagate {
@@ -70,7 +70,7 @@
 
 struct Queued
 {
-    Instant until; ///< answered by then at the latest
+    Instant deadline; ///< answered by then at the latest
 };
 
 using AdmissionOutcome = std::variant<Admitted, Queued, Verdict>;
@@ -180,7 +180,7 @@
     uint32_t interactiveRunning_ = 0;
     uint32_t starting_ = 0;
     bool firstTokensTold_ = false; ///< onFirstToken is called at all
-    StartLimit startLimit_;
+    PrefillLimit startLimit_;
     MovingMean promptTokens_;
     FairQueue interactive_;
     FairQueue batch_;
--- a/include/sequoiagate/Decisions/RetryAllotment.h
+++ b/include/sequoiagate/Decisions/DistributedRetryBudget.h
@@ -1,5 +1,5 @@
-#ifndef SEQUOIAGATE_DECISIONS_RETRYALLOTMENT_H
-#define SEQUOIAGATE_DECISIONS_RETRYALLOTMENT_H
+#ifndef SEQUOIAGATE_DECISIONS_DISTRIBUTEDRETRYBUDGET_H
+#define SEQUOIAGATE_DECISIONS_DISTRIBUTEDRETRYBUDGET_H
 
 /// How many repeats this process may add to a service's load, where the bound is one for
 /// all processes together. Pure.
@@ -19,26 +19,27 @@
 
 namespace sequoiagate {
 
-struct RetryAllotmentSettings
+struct DistributedRetryBudgetSettings
 {
     double ratio = 0.2;                         ///< repeats per request
-    double slack = 50.0;                        ///< repeats beside, all processes together
+    double baseRetries = 50.0;                  ///< repeats beside, all processes together
     Interval window = std::chrono::seconds(10); ///< over which the bound holds
-    double use = 0.7; ///< of the bound: processes come and go, and windows slide
+    double usableFraction = 0.7; ///< of the bound: processes come and go, and windows slide
 };
 
 /// Not thread safe.
-class RetryAllotment
+class DistributedRetryBudget
 {
 public:
-    explicit RetryAllotment(RetryAllotmentSettings settings) : settings_(settings) {}
+    explicit DistributedRetryBudget(DistributedRetryBudgetSettings settings) : settings_(settings)
+    {}
 
-    void setSettings(RetryAllotmentSettings settings) { settings_ = settings; }
+    void setSettings(DistributedRetryBudgetSettings settings) { settings_ = settings; }
     /// \pre count > 0
-    void setProcesses(uint32_t count) { processes_ = count; }
+    void setProcessCount(uint32_t count) { processes_ = count; }
     void onRequest(const ServiceId &service, Instant now);
     /// Whether a request may be sent to \p service once more; counts it if so.
-    bool mayRepeat(const ServiceId &service, Instant now);
+    bool mayRetry(const ServiceId &service, Instant now);
 
 private:
     struct Counts
@@ -49,7 +50,7 @@
 
     void expire(Counts &counts, Instant now) const;
 
-    RetryAllotmentSettings settings_;
+    DistributedRetryBudgetSettings settings_;
     uint32_t processes_ = 1;
     std::unordered_map<ServiceId, Counts> services_;
 };
--- a/include/sequoiagate/Decisions/EndpointChoice.h
+++ b/include/sequoiagate/Decisions/EndpointSelector.h
@@ -1,5 +1,5 @@
-#ifndef SEQUOIAGATE_DECISIONS_ENDPOINTCHOICE_H
-#define SEQUOIAGATE_DECISIONS_ENDPOINTCHOICE_H
+#ifndef SEQUOIAGATE_DECISIONS_ENDPOINTSELECTOR_H
+#define SEQUOIAGATE_DECISIONS_ENDPOINTSELECTOR_H
 
 /// Where a request goes: among the endpoints that offer its service, by prefix
 /// affinity with bounded load, locality and health. Pure.
@@ -41,7 +41,7 @@
 #include "sequoiagate/Decisions/EndpointHealth.h"
 #include "sequoiagate/Decisions/EndpointLoad.h"
 #include "sequoiagate/Decisions/EndpointSpec.h"
-#include "sequoiagate/Decisions/LongWork.h"
+#include "sequoiagate/Decisions/LongPromptLanes.h"
 #include "sequoiagate/Decisions/PrefixAffinity.h"
 #include "sequoiagate/Decisions/RetryBudget.h"
 #include "sequoiagate/Decisions/WorkItem.h"
@@ -52,18 +52,18 @@
 struct UnservedRoute
 {
     EndpointId endpoint;
-    std::string why; ///< "leaving", "ejected", "unreachable", "full", ...
+    std::string reason; ///< "leaving", "ejected", "unreachable", "full", ...
 };
 
-struct Chosen
+struct SelectedEndpoint
 {
     EndpointId endpoint;
-    std::string why; ///< "prefix", "least_loaded", "spill", ...
+    std::string reason; ///< "prefix", "least_loaded", "spill", ...
 };
 
-using ChoiceOutcome = std::variant<Chosen, Verdict>;
+using SelectionOutcome = std::variant<SelectedEndpoint, Verdict>;
 
-struct EndpointChoiceSettings
+struct EndpointSelectorSettings
 {
     double boundFactor = 1.25; ///< of the mean load, up to which a prefix stays at home
     /// Prompt tokens an engine prefills a second and the time before the first; they
@@ -77,7 +77,7 @@
     /// Of this router's equal part of an endpoint's slots, that a prefix may fill before the
     /// bound counts. Where a router has a few requests at each endpoint, a bound of 1.25 times
     /// their mean is less than two, and a prefix would leave its home with the second request.
-    double freeShare = 0.0;
+    double boundExemptShare = 0.0;
     /// A prefix that spares more prefill than a round trip costs has so many homes, in any
     /// failure domain, of which the less loaded is chosen; 0: it has one in each domain, and
     /// the bound above. Two choices even out the load almost as well as all would (Mitzenmacher,
@@ -93,27 +93,28 @@
     Interval roundTripElsewhere = std::chrono::milliseconds(5); ///< until it is measured
     bool longWorkLanes = true;
     /// Routers that send to the same endpoints, as membership says; 6 to 9 hosts today.
-    uint32_t routers = 9;
+    uint32_t routerCount = 9;
     uint64_t seed = 1;
     HealthSettings health;
 };
 
 /// Not thread safe.
-class EndpointChoice
+class EndpointSelector
 {
 public:
-    explicit EndpointChoice(DomainId self, EndpointChoiceSettings settings = {});
+    explicit EndpointSelector(DomainId self, EndpointSelectorSettings settings = {});
 
     /// Replaces the set; what is known of endpoints that stay is kept. One that comes
     /// later than the first set begins by slow start.
     void setEndpoints(const std::vector<EndpointSpec> &endpoints, Instant now);
     /// \p tried are left out: a retry never goes into the same failing endpoint.
-    ChoiceOutcome choose(const WorkItem &item, const std::vector<EndpointId> &tried, Instant now);
+    SelectionOutcome select(const WorkItem &item, const std::vector<EndpointId> &tried,
+                            Instant now);
     void onSent(const EndpointId &endpoint, const WorkItem &item, Instant now);
     /// The first token of a request came. Without it a slow endpoint is noticed only
     /// when its streams end.
     void onFirstToken(const EndpointId &endpoint, const RequestId &request, Instant now);
-    void onEnd(const TryResult &result, Instant now);
+    void onEnd(const AttemptResult &result, Instant now);
     void onReport(const LoadReport &report, Instant now);
     /// A cache event: \p prefix as in WorkItem::prefixHash, stored or evicted. May come
     /// late, or never.
@@ -123,13 +124,13 @@
     std::vector<UnservedRoute> unserved(const ServiceId &service, Instant now) const;
     /// How many routers send to these endpoints. Wrong by a factor it costs evenness
     /// between routers, for as long as it is wrong.
-    void setRouters(uint32_t count) { settings_.routers = count; }
+    void setRouterCount(uint32_t count) { settings_.routerCount = count; }
     /// Requests that this router may have open at the endpoints of all services: an equal
     /// part of their slots at least; more while the others leave room, and less again
     /// when all slots are taken. Divided by what each has open alone, any division stands
     /// for ever: one router kept 6 of 2,940 slots at saturation, and refused its callers.
     /// 0 if no endpoint can be used.
-    uint32_t totalSlots(Instant now) const;
+    uint32_t concurrencyLimit(Instant now) const;
 
 private:
     enum class Usability {
@@ -167,7 +168,7 @@
     {
         std::vector<std::size_t> endpoints;
         OutlierDetection outliers;
-        LongWork longWork;
+        LongPromptLanes longWork;
     };
 
     static const char *usabilityName(Usability usability);
@@ -184,7 +185,7 @@
     void markLanes(const Service &service, const ServiceId &name, Instant now);
     static Interval backlog(const Endpoint &endpoint, Instant now);
     void markRoomy(bool isLong, bool localOnly, Instant now);
-    std::optional<Chosen> chooseRoomy(const WorkItem &item, bool localOnly, Instant now);
+    std::optional<SelectedEndpoint> chooseRoomy(const WorkItem &item, bool localOnly, Instant now);
     const Candidate *byPrefix(uint64_t prefix, bool holdersOnly, Instant now) const;
     const Candidate *bestOfTwo(const WorkItem &item, Instant now);
     const Candidate *leastCost(const WorkItem &item, bool isLong, Instant now);
@@ -196,7 +197,7 @@
                        Instant now) const;
 
     DomainId self_;
-    EndpointChoiceSettings settings_;
+    EndpointSelectorSettings settings_;
     std::vector<Endpoint> endpoints_;
     std::unordered_map<EndpointId, std::size_t> index_;
     std::unordered_map<ServiceId, Service> services_;
--- a/include/sequoiagate/Decisions/EndpointSpec.h
+++ b/include/sequoiagate/Decisions/EndpointSpec.h
@@ -35,7 +35,7 @@
 };
 
 /// How one try at an endpoint went.
-struct TryResult
+struct AttemptResult
 {
     EndpointId endpoint;
     RequestId request;
--- a/include/sequoiagate/Decisions/LongWork.h
+++ b/include/sequoiagate/Decisions/LongPromptLanes.h
@@ -1,5 +1,5 @@
-#ifndef SEQUOIAGATE_DECISIONS_LONGWORK_H
-#define SEQUOIAGATE_DECISIONS_LONGWORK_H
+#ifndef SEQUOIAGATE_DECISIONS_LONGPROMPTLANES_H
+#define SEQUOIAGATE_DECISIONS_LONGPROMPTLANES_H
 
 /// Which endpoints take long work, and what long is.
 ///
@@ -19,7 +19,7 @@
 namespace sequoiagate {
 
 /// Not thread safe.
-class LongWork
+class LongPromptLanes
 {
 public:
     /// A prompt is long from so many times the mean of the others. Short prompts that
@@ -31,7 +31,7 @@
     /// Lanes end when no long work came for so long.
     static constexpr Interval LanesLast = std::chrono::seconds(60);
 
-    LongWork();
+    LongPromptLanes();
 
     /// Whether a prompt is long beside those seen before, and learns from it.
     bool classify(uint64_t promptTokens, Instant now);
--- a/include/sequoiagate/Decisions/StartLimit.h
+++ b/include/sequoiagate/Decisions/PrefillLimit.h
@@ -1,5 +1,5 @@
-#ifndef SEQUOIAGATE_DECISIONS_STARTLIMIT_H
-#define SEQUOIAGATE_DECISIONS_STARTLIMIT_H
+#ifndef SEQUOIAGATE_DECISIONS_PREFILLLIMIT_H
+#define SEQUOIAGATE_DECISIONS_PREFILLLIMIT_H
 
 /// How many requests may be between being sent and their first token.
 ///
@@ -23,7 +23,7 @@
 namespace sequoiagate {
 
 /// Not thread safe.
-class StartLimit
+class PrefillLimit
 {
 public:
     /// Enough for ten times the design's load of a router (24 requests a second, 50 ms
@@ -35,7 +35,7 @@
 
     /// \param target first tokens later than this are late, unless the service's own
     ///     time is near it
-    explicit StartLimit(Interval target);
+    explicit PrefillLimit(Interval target);
 
     /// \param took from sending to the first token
     /// \param starting requests without a first token when it came
--- a/include/sequoiagate/Decisions/RetryBudget.h
+++ b/include/sequoiagate/Decisions/RetryBudget.h
@@ -24,7 +24,7 @@
 public:
     /// \param ratio retries allowed per first try, 0 to 1
     explicit RetryBudget(double ratio = 0.1);
-    void onFirstTry(Instant now);
+    void onFirstAttempt(Instant now);
     /// Whether the failed try may be made again; counts it if so. Never for a call
     /// that isn't idempotent unless the verdict is NotRun.
     bool mayRetry(const Verdict &verdict, bool idempotent, Instant now);
--- a/include/sequoiagate/Decisions/WorkItem.h
+++ b/include/sequoiagate/Decisions/WorkItem.h
@@ -23,8 +23,9 @@
     WorkClass workClass = WorkClass::Interactive;
     uint64_t promptTokens = 0;
     uint64_t outputCeiling = 0;
-    uint64_t sharedTokens = 0; ///< of the prompt, that an endpoint may have cached; 0: unknown
-    uint64_t prefixHash = 0;   ///< stable hash of the prompt's first block; 0: none
+    uint64_t cacheablePrefixTokens =
+            0;               ///< of the prompt, that an endpoint may have cached; 0: unknown
+    uint64_t prefixHash = 0; ///< stable hash of the prompt's first block; 0: none
     bool idempotent = true;
     double weight = 1.0; ///< of its workspace, for fair shares
     Instant arrivedAt;
--- a/include/sequoiagate/Edge/Edge.h
+++ b/include/sequoiagate/Edge/Edge.h
@@ -86,7 +86,7 @@
     boost::asio::steady_timer timer_;
     Statechart exchangeChart_;
     Statechart drainChart_;
-    StatechartPosition drain_;
+    StatechartInstance drain_;
     ConnectionPool pool_;
     std::unique_ptr<Store> store_;
     EndpointDirectory endpoints_;
--- a/include/sequoiagate/Edge/EdgeSettings.h
+++ b/include/sequoiagate/Edge/EdgeSettings.h
@@ -9,7 +9,7 @@
 
 #include "sequoiagate/Base/Ids.h"
 #include "sequoiagate/Base/Time.h"
-#include "sequoiagate/Decisions/RetryAllotment.h"
+#include "sequoiagate/Decisions/DistributedRetryBudget.h"
 #include "sequoiagate/Ledger/TokenHolder.h"
 
 namespace sequoiagate {
@@ -27,7 +27,7 @@
     Interval stopGrace{};            ///< from the stop signal to the forced end
     Interval readyGrace{};           ///< callers still come for so long after the stop signal
     uint64_t linkBytesPerSecond = 0; ///< of the host's network link, each way; 0: unknown
-    RetryAllotmentSettings retries;
+    DistributedRetryBudgetSettings retries;
     TokenHolderSettings tokens;
 };
 
--- a/include/sequoiagate/Edge/EndpointDirectory.h
+++ b/include/sequoiagate/Edge/EndpointDirectory.h
@@ -15,8 +15,8 @@
 #include <vector>
 
 #include "sequoiagate/Config/ServingConfig.h"
-#include "sequoiagate/Decisions/EndpointChoice.h"
-#include "sequoiagate/Decisions/RetryAllotment.h"
+#include "sequoiagate/Decisions/DistributedRetryBudget.h"
+#include "sequoiagate/Decisions/EndpointSelector.h"
 #include "sequoiagate/Proxy/ProxyContext.h"
 
 namespace sequoiagate {
@@ -39,7 +39,7 @@
     /// delisted after three heartbeats of a second or so; a cut one may be back any time.
     static constexpr Interval UnreachableFor = std::chrono::milliseconds(1000);
 
-    EndpointDirectory(const DomainId &self, RetryAllotmentSettings retries, EventLog &log);
+    EndpointDirectory(const DomainId &self, DistributedRetryBudgetSettings retries, EventLog &log);
 
     /// An entry came or changed. In force with the next publish.
     void update(const EndpointEntry &entry, Instant now);
@@ -53,17 +53,17 @@
     /// Puts what changed in force.
     void publish(Instant now);
     void setProcesses(uint32_t count);
-    void setRetries(RetryAllotmentSettings settings) { retries_.setSettings(settings); }
+    void setRetries(DistributedRetryBudgetSettings settings) { retries_.setSettings(settings); }
     std::size_t size() const { return entries_.size(); }
     std::size_t usable() const;
 
-    Placing place(const WorkItem &item, const std::vector<PromptPart> &prompt,
-                  const std::vector<EndpointId> &tried, Instant now) override;
+    PlacementResult place(const WorkItem &item, const std::vector<PromptPart> &prompt,
+                          const std::vector<EndpointId> &tried, Instant now) override;
     void onSent(const EndpointId &endpoint, const WorkItem &item, Instant now) override;
     void onFirstToken(const EndpointId &endpoint, const RequestId &request, Instant now) override;
-    void onEnd(const TryResult &result, Instant now) override;
-    void onMissing(const EndpointId &endpoint, Instant now) override;
-    bool mayRepeat(const ServiceId &service, Instant now) override;
+    void onAttemptEnd(const AttemptResult &result, Instant now) override;
+    void onStaleEndpoint(const EndpointId &endpoint, Instant now) override;
+    bool mayRetry(const ServiceId &service, Instant now) override;
     void onRequest(const ServiceId &service, Instant now) override;
 
 private:
@@ -78,8 +78,8 @@
     };
 
     EventLog &log_;
-    EndpointChoice choice_;
-    RetryAllotment retries_;
+    EndpointSelector choice_;
+    DistributedRetryBudget retries_;
     std::unordered_map<EndpointId, Listed> entries_;
     std::set<ServiceId> served_; ///< services with a listed endpoint that takes new work
     bool changed_ = false;
--- a/include/sequoiagate/Edge/PeerLink.h
+++ b/include/sequoiagate/Edge/PeerLink.h
@@ -62,7 +62,7 @@
     struct Handlers
     {
         /// A peer asks. \returns the tokens to move to it, which the holder has let go.
-        std::function<uint64_t(const TokenAsk &)> onAsk;
+        std::function<uint64_t(const TokenRequest &)> onAsk;
         std::function<HeldTokens(const WorkspaceId &)> held;
         std::function<void(const WorkspaceId &, uint64_t tokens)> onTokens;
         /// A peer told its clock, as this process asked.
@@ -78,7 +78,7 @@
     void setHomes(const WorkspaceId &workspace, std::vector<Peer> homes);
     /// Asks for a request that waits: first the near home, then the others, then any peers.
     /// Asks some peers else, others the next time.
-    void ask(const TokenAsk &ask);
+    void ask(const TokenRequest &ask);
     /// Whether the near home of \p workspace has answered recently enough to move tokens to it.
     bool homeAnsweredRecently(const WorkspaceId &workspace, Instant now) const;
     /// Moves \p tokens, already released by the holder, to the near home.
@@ -123,7 +123,7 @@
     uint64_t underWay(const WorkspaceId &workspace) const;
     void sendMove(const WorkspaceId &workspace, uint64_t tokens, const std::string &to,
                   const boost::asio::ip::udp::endpoint &address, Instant now);
-    std::vector<boost::asio::ip::udp::endpoint> addressees(const TokenAsk &ask);
+    std::vector<boost::asio::ip::udp::endpoint> addressees(const TokenRequest &ask);
     void send(const std::string &text, const boost::asio::ip::udp::endpoint &to);
 
     boost::asio::ip::udp::socket socket_;
--- a/include/sequoiagate/Edge/TokenService.h
+++ b/include/sequoiagate/Edge/TokenService.h
@@ -41,7 +41,7 @@
 };
 
 /// Single-threaded.
-class TokenService : public TokenDesk
+class TokenService : public TokenReservations
 {
 public:
     TokenService(boost::asio::io_context &io, Store &store, TokenServiceSettings settings,
@@ -59,15 +59,15 @@
     void stop(Instant deadline, std::function<void()> done);
     bool storeReachable() const { return follower_.reachable(); }
 
-    TokenTicket reserve(const WorkspaceId &workspace, uint64_t tokens, Instant deadline,
-                        std::function<void(std::optional<Verdict>)> handler) override;
-    void cancel(TokenTicket ticket) override;
+    TokenRequestId reserve(const WorkspaceId &workspace, uint64_t tokens, Instant deadline,
+                           std::function<void(std::optional<Verdict>)> handler) override;
+    void cancel(TokenRequestId ticket) override;
     void settle(const WorkspaceId &workspace, uint64_t reserved, uint64_t spent) override;
 
 private:
     struct Waiting
     {
-        TokenTicket ticket = 0;
+        TokenRequestId ticket = 0;
         WorkspaceId workspace;
         uint64_t tokens = 0;
         Instant since{};
@@ -103,7 +103,7 @@
     void serveWaiting(Instant now);
     void expireWaiting(Instant now);
     void updateShortOf(const WorkspaceId &workspace);
-    uint64_t give(const TokenAsk &ask, Instant now);
+    uint64_t give(const TokenRequest &ask, Instant now);
     void askPeers(Instant now);
     void returnLeftovers(Instant now);
     HeldTokens held(const WorkspaceId &workspace) const;
@@ -128,7 +128,7 @@
     Instant startedAt_;
     std::list<Waiting> waiting_;
     std::unordered_map<WorkspaceId, Shortage> shortages_;
-    TokenTicket lastTicket_ = 0;
+    TokenRequestId lastTicket_ = 0;
 
     std::optional<StoreBatch> batch_; ///< being written
     uint64_t nextSeq_ = 0;
--- a/include/sequoiagate/Keeper/KeeperCore.h
+++ b/include/sequoiagate/Keeper/KeeperCore.h
@@ -150,9 +150,9 @@
     void onCheckpoint(std::size_t stream, const wire::Checkpoint &checkpoint, Instant now);
     /// What a peer answered to ReadConfig. \returns whether it was newer.
     bool onPeerConfig(const wire::ConfigState &config, Instant now);
-    void onWindow(const AskWindowAction &asked, uint64_t signedTotal, Instant now);
+    void onWindow(const RequestWindowAction &asked, uint64_t signedTotal, Instant now);
     /// The witness said no. \param final it will say so for ever
-    void onWindowRefused(const AskWindowAction &asked, bool final, Instant now);
+    void onWindowRefused(const RequestWindowAction &asked, bool final, Instant now);
     void onStreamAnswer(const StreamInquiry &inquiry, const StreamAnswer &answer, Instant now,
                         WallTime wall);
     void onMembers(std::vector<wire::MemberEntry> members, Instant now);
@@ -175,7 +175,7 @@
     // ---- work for the drivers ----
     AppendQueue &queue(std::size_t stream);
     /// nullopt: nothing to ask.
-    std::optional<AskWindowAction> takeWindowAsk();
+    std::optional<RequestWindowAction> takeWindowAsk();
     std::optional<StreamInquiry> takeInquiry(Instant now);
     std::optional<SettleForward> takeForward(Instant now);
     /// It didn't arrive: it is tried again for a while.
@@ -289,7 +289,7 @@
     KeeperCoreSettings settings_;
     Incarnation self_;
     KeeperView view_;
-    StatechartPosition drain_;
+    StatechartInstance drain_;
     WallTime wall_; ///< as of the event under way, for records' stamps
 
     ConfigFold config_;
@@ -311,7 +311,7 @@
     std::unordered_map<Incarnation, Instant> routerSilentAt_;
     std::unordered_map<std::string, Incarnation> routerAt_; ///< latest heard at an address
 
-    std::deque<AskWindowAction> windowAsks_;
+    std::deque<RequestWindowAction> windowAsks_;
     std::deque<StreamInquiry> inquiries_;
     std::deque<SettleForward> forwards_;
     std::vector<Event> events_;
--- a/include/sequoiagate/Ledger/AllotmentTable.h
+++ b/include/sequoiagate/Ledger/AllotmentTable.h
@@ -20,7 +20,7 @@
 struct Allotment
 {
     uint64_t tokens = 0;       ///< that it has, or claims
-    uint64_t usedAtMost = 0;   ///< of these, when its last batch was composed
+    uint64_t maxUsed = 0;      ///< of these, when its last batch was composed
     uint64_t usePerSecond = 0; ///< that may be used beyond that, from then on
 
     /// The most that is used \p elapsed after the holder composed its last batch.
--- a/include/sequoiagate/Ledger/Charge.h
+++ b/include/sequoiagate/Ledger/Charge.h
@@ -32,32 +32,32 @@
 namespace sequoiagate {
 
 /// How a sending of a request to an endpoint ended.
-enum class AttemptEnd {
-    NotConnected,   ///< no byte of it left; also if broken off while connecting
-    NotExecuted,    ///< the endpoint said that it did not run the request
-    Cut,            ///< the connection or the answer broke, at any point
-    Cancelled,      ///< the caller left, before or in the answer
-    Silent,         ///< given up for the endpoint's silence, before or in the answer
-    TimedOut,       ///< the request's deadline passed, before or in the answer
-    AnswerRejected, ///< the answer was another request's, or not the endpoint's own
-    Failed,         ///< the endpoint's own answer, no success
-    Answered,       ///< whole
+enum class AttemptOutcome {
+    NotConnected,     ///< no byte of it left; also if broken off while connecting
+    NotExecuted,      ///< the endpoint said that it did not run the request
+    ConnectionLost,   ///< the connection or the answer broke, at any point
+    Cancelled,        ///< the caller left, before or in the answer
+    Stalled,          ///< given up for the endpoint's silence, before or in the answer
+    TimedOut,         ///< the request's deadline passed, before or in the answer
+    ResponseRejected, ///< the answer was another request's, or not the endpoint's own
+    Failed,           ///< the endpoint's own answer, no success
+    Completed,        ///< whole
 };
 
 /// What is known of a request that has ended.
-struct RequestUse
+struct RequestUsage
 {
     uint64_t promptTokens = 0;
-    uint64_t mostOutputTokens = 0;
+    uint64_t maxOutputTokens = 0;
     uint64_t tokensPerEvent = 0;
     std::vector<AttemptEnd> attempts;
-    uint64_t eventsPassedOn = 0;      ///< of a stream, from all endpoints
-    bool plainAnswerPassedOn = false; ///< a success that is no stream, whole or in part
+    uint64_t eventsForwarded = 0;               ///< of a stream, from all endpoints
+    bool nonStreamingResponseForwarded = false; ///< a success that is no stream, whole or in part
 };
 
 /// \returns the tokens to charge, at most the prompt and the most output. \pre use.attempts holds
 /// all attempts of the request. Thread safe.
-uint64_t charge(const RequestUse &use);
+uint64_t tokensToCharge(const RequestUsage &use);
 
 } // namespace sequoiagate
 
--- a/include/sequoiagate/Ledger/ElapsedBound.h
+++ b/include/sequoiagate/Ledger/ElapsedBound.h
@@ -25,19 +25,19 @@
 namespace sequoiagate {
 
 /// One peer's clock since boot, read twice.
-struct WitnessedSpan
+struct PeerClockReadings
 {
     Incarnation processBefore;
     Incarnation processAfter;
-    Millis before{}; ///< as the dead holder had read it when it composed its batch
-    Millis after{};  ///< as the peer read it when it was asked
+    Millis clockBefore{}; ///< as the dead holder had read it when it composed its batch
+    Millis clockAfter{};  ///< as the peer read it when it was asked
     /// Between the asking process's start and its asking, by its own steady clock.
     Millis askedAfterStart{};
 };
 
 /// An upper bound of the time between a dead holder's last batch and the start of the next
 /// process on its host, or nullopt: nothing is known.
-std::optional<Millis> elapsedBound(const std::vector<WitnessedSpan> &peers);
+std::optional<Millis> elapsedBound(const std::vector<PeerClockReadings> &peers);
 
 } // namespace sequoiagate
 
--- a/include/sequoiagate/Ledger/GrantAccount.h
+++ b/include/sequoiagate/Ledger/GrantAccount.h
@@ -35,7 +35,7 @@
     uint64_t returned() const { return returned_; }
     uint64_t spent() const { return spent_; }
     uint64_t reserved() const { return reserved_; }
-    bool witnessChanging() const { return nextWitness_.has_value(); }
+    bool witnessChangePending() const { return nextWitness_.has_value(); }
 
     /// The most that may ever be spent with what is known now.
     uint64_t spendable() const;
@@ -56,14 +56,14 @@
     void settle(uint64_t drawn, uint64_t spentTokens);
     /// \returns whether the window was taken. \p evenWhileChanging is what the
     /// safeguard holderStopsWindowsFirst forbids.
-    bool takeWindow(const Incarnation &witness, uint64_t signedTotal, bool evenWhileChanging);
+    bool acceptWindow(const Incarnation &witness, uint64_t signedTotal, bool evenWhileChanging);
 
     /// The most that can be given up without touching what is reserved or what the
     /// log lets no return go under.
     uint64_t returnable() const;
     /// Stops spending \p tokens of it for ever. The caller appends the return next.
     /// \pre tokens <= returnable()
-    void giveUp(uint64_t tokens);
+    void relinquish(uint64_t tokens);
     /// Stops taking windows; spending stops at what was received, which of an
     /// unwitnessed grant is what is drawn and \p allowance. The caller appends the
     /// rewitness with received() next. \pre phase() == Open, !witnessChanging()
@@ -72,7 +72,7 @@
     /// \pre reserved() == 0
     void close();
     /// Takes over what the log says of the grant; nullptr: nothing (any more).
-    void readBack(const LedgerGrant *grant);
+    void updateFromLog(const LedgerGrant *grant);
 
 private:
     GrantId id_;
--- a/include/sequoiagate/Ledger/GrantActions.h
+++ b/include/sequoiagate/Ledger/GrantActions.h
@@ -22,17 +22,17 @@
 };
 
 /// Ask \p witness for a window; give its answer to GrantHolder::onWindow.
-struct AskWindowAction
+struct RequestWindowAction
 {
     Incarnation witness;
     GrantId grant;
     WorkspaceId workspace;
     uint64_t receivedTokens = 0;
     uint64_t wantTokens = 0;
-    uint64_t givenUpTokens = 0;
+    uint64_t returnedTokens = 0;
 };
 
-using GrantAction = std::variant<AppendAction, AskWindowAction>;
+using GrantAction = std::variant<AppendAction, RequestWindowAction>;
 using GrantActions = std::vector<GrantAction>;
 
 } // namespace sequoiagate
--- a/include/sequoiagate/Ledger/GrantHolder.h
+++ b/include/sequoiagate/Ledger/GrantHolder.h
@@ -43,12 +43,12 @@
 
 /// Not now, but an answer from the log or a witness is under way: ask again when
 /// the holder has changed, at the latest at \p until.
-struct ReserveLater
+struct ReservePending
 {
     Instant until;
 };
 
-using ReserveOutcome = std::variant<ReservationDraws, ReserveLater, Verdict>;
+using ReserveOutcome = std::variant<ReservationDraws, ReservePending, Verdict>;
 
 /// Not thread safe.
 class GrantHolder
@@ -97,7 +97,7 @@
     uint64_t reservedTokens() const;
     uint64_t availableTokens() const; ///< in windows, not reserved nor spent
     /// What of its grants is neither reserved nor spent, signed or not.
-    uint64_t leftTokens() const;
+    uint64_t unreservedTokens() const;
     std::vector<wire::HeldGrant> describe() const;
 
 private:
--- a/include/sequoiagate/Ledger/GrantSettings.h
+++ b/include/sequoiagate/Ledger/GrantSettings.h
@@ -24,7 +24,7 @@
     Interval askTimeout = std::chrono::milliseconds(500); ///< for a window
     Interval claimPause = std::chrono::seconds(1); ///< after a refused claim, or between returns
     /// How long a request may wait for the log or a witness before it is refused.
-    Interval reservePatience = std::chrono::seconds(2);
+    Interval maxReserveWait = std::chrono::seconds(2);
     Interval comeBackAfter = std::chrono::seconds(5); ///< told with a refusal
 };
 
--- a/include/sequoiagate/Ledger/LedgerFold.h
+++ b/include/sequoiagate/Ledger/LedgerFold.h
@@ -23,14 +23,14 @@
 /// What the fold did with a record.
 enum class FoldOutcome {
     Accepted,
-    Refused, ///< a rule was not met; the record has no effect
-    Doubled, ///< this (writer, sequence) or a later one of the writer was folded before
+    Refused,   ///< a rule was not met; the record has no effect
+    Duplicate, ///< this (writer, sequence) or a later one of the writer was folded before
 };
 
 struct FoldResult
 {
     FoldOutcome outcome = FoldOutcome::Refused;
-    std::string why;           ///< for people; empty when accepted
+    std::string reason;        ///< for people; empty when accepted
     uint64_t refundTokens = 0; ///< what went back to the pool
 };
 
@@ -53,7 +53,7 @@
     uint64_t total = 0;     ///< prepaid, under configVersion
     uint64_t allocated = 0; ///< debited for grants, less refunds; may exceed a lowered total
     uint64_t configVersion = 0;
-    uint64_t unmet = 0; ///< tokens that refused claims asked for since the last accepted one
+    uint64_t unmetTokens = 0; ///< tokens that refused claims asked for since the last accepted one
     uint64_t billed = 0;
 
     uint64_t remainder() const { return total > allocated ? total - allocated : 0; }
@@ -67,7 +67,7 @@
     uint64_t offset = 0;
 
     /// Its claimer will never send the call: another claim may take the key.
-    bool freed() const { return outcome && outcome->execution() == wire::NOT_RUN; }
+    bool keyAvailable() const { return outcome && outcome->execution() == wire::NOT_RUN; }
 };
 
 /// Where a reader may start: thrown by requireNoGap.
--- a/include/sequoiagate/Ledger/Safeguards.h
+++ b/include/sequoiagate/Ledger/Safeguards.h
@@ -31,7 +31,7 @@
     /// Without: the later of two racing operators silently undoes the first.
     bool compareAndSwap = true;
     /// Without: a sheet that is applied twice tops up twice.
-    bool topUpOnce = true;
+    bool deduplicateTopUps = true;
 };
 
 } // namespace sequoiagate
--- a/include/sequoiagate/Ledger/TokenHolder.h
+++ b/include/sequoiagate/Ledger/TokenHolder.h
@@ -59,7 +59,7 @@
     double idleLowRest = 0.5;
     /// Without a batch for so long, what the last one says no longer bounds the holder. Longer
     /// than a killed process takes to be started again, with its last batch's age.
-    Interval silence = std::chrono::milliseconds(2400);
+    Interval batchValidity = std::chrono::milliseconds(2400);
     /// A batch is written at least this often, to say that the holder keeps to it.
     Interval heartbeat = std::chrono::milliseconds(500);
     /// Demand that a row allows beyond what was used when it was composed.
@@ -116,19 +116,19 @@
 };
 
 /// A holder is short of tokens and asks a peer for some.
-struct TokenAsk
+struct TokenRequest
 {
     WorkspaceId workspace;
-    uint64_t need = 0;      ///< for the request that waits; 0: it runs low
-    uint64_t usable = 0;    ///< that the asking holder has
-    uint64_t perSecond = 0; ///< its demand
-    uint32_t round = 0;     ///< how often it has asked for the request that waits
+    uint64_t need = 0;            ///< for the request that waits; 0: it runs low
+    uint64_t usable = 0;          ///< that the asking holder has
+    uint64_t demandPerSecond = 0; ///< its demand
+    uint32_t round = 0;           ///< how often it has asked for the request that waits
 };
 
 /// What can be had of a workspace's budget.
 enum class BudgetState {
-    Covered,     ///< tokens can be had here or from the store
-    Spent,       ///< the store has none left to give out
+    Available,   ///< tokens can be had here or from the store
+    Exhausted,   ///< the store has none left to give out
     Unreachable, ///< the store doesn't answer: it may have some
 };
 
@@ -142,7 +142,7 @@
     void setBudgets(const std::vector<WorkspaceBudget> &budgets, Instant now);
     void setHorizon(Interval horizon) { settings_.horizon = horizon; }
     /// How many processes share the budgets. \pre count > 0
-    void setHolders(uint32_t count) { holders_ = count; }
+    void setHolderCount(uint32_t count) { holders_ = count; }
     /// How many homes \p workspace has, and whether this holder is one. 0: it has none, and
     /// each holder holds for itself.
     void setHomes(const WorkspaceId &workspace, uint32_t homes, bool isHome);
@@ -156,7 +156,7 @@
     void settle(const WorkspaceId &workspace, uint64_t reserved, uint64_t spent, Instant now);
     /// Sets the total number of tokens that the waiting requests of \p workspace need. 0: none
     /// waits.
-    void setShortOf(const WorkspaceId &workspace, uint64_t tokens);
+    void setRequiredTokens(const WorkspaceId &workspace, uint64_t tokens);
     /// No request waits for tokens of \p workspace any more.
     void noLongerShort(const WorkspaceId &workspace);
 
@@ -166,11 +166,11 @@
     /// until onPosition finds its rows; one without rows, until onWritten.
     std::optional<std::vector<AllotmentRow>> nextBatch(Instant now);
     /// The store took the batch in flight.
-    void onWritten();
+    void onBatchWritten();
     void onRow(const AllotmentRow &row, uint64_t offset, Instant now);
     /// All rows before \p next were handed to onRow. Judges the claims in flight.
     /// \returns true if the batch in flight was found in the store: it needn't be sent again.
-    bool onPosition(uint64_t next);
+    bool onReadUpTo(uint64_t next);
     bool batchInFlight() const { return inFlight_.has_value(); }
     /// Whether any row of this holder in the store leaves tokens unused. Otherwise no heartbeats
     /// are written, and a successor has nothing to give back.
@@ -184,10 +184,10 @@
 
     // ---- peers ----
     /// What to ask peers for now.
-    std::vector<TokenAsk> asks(Instant now);
+    std::vector<TokenRequest> peerRequests(Instant now);
     /// Tokens to move to the peer that asks; they are this holder's no more. 0: none.
-    uint64_t give(const TokenAsk &ask, Instant now);
-    void take(const WorkspaceId &workspace, uint64_t tokens, Instant now);
+    uint64_t transferOut(const TokenRequest &ask, Instant now);
+    void transferIn(const WorkspaceId &workspace, uint64_t tokens, Instant now);
     /// Releases unused tokens that came from peers, after `leftoverRetention` and only if this
     /// host relies on homes. \returns how many to move to a home.
     uint64_t releaseLeftover(const WorkspaceId &workspace, Instant now);
@@ -208,7 +208,7 @@
     uint64_t reserved(const WorkspaceId &workspace) const;
     /// Tokens that no holder has, as far as the store was read.
     uint64_t unallotted(const WorkspaceId &workspace) const;
-    BudgetState state(const WorkspaceId &workspace, uint64_t need) const;
+    BudgetState budgetState(const WorkspaceId &workspace, uint64_t need) const;
     std::vector<WorkspaceId> workspaces() const;
 
 private:
@@ -268,8 +268,8 @@
     bool leavesItToHomes(const WorkspaceId &workspace, const Account &account, Instant now) const;
     uint64_t claimFor(const WorkspaceId &workspace, const Account &account, Instant now) const;
     void giveBack(Account &account, uint64_t tokens);
-    static uint64_t giftOfHome(Account &account, const TokenAsk &ask, Instant now);
-    uint64_t evenGift(const Account &account, const TokenAsk &ask, Instant now) const;
+    static uint64_t giftOfHome(Account &account, const TokenRequest &ask, Instant now);
+    uint64_t evenGift(const Account &account, const TokenRequest &ask, Instant now) const;
     static uint64_t used(const Account &account);
     bool inUse(const Account &account, Instant now) const;
     uint64_t mayUse(const Account &account, Instant now) const;
--- a/include/sequoiagate/Proxy/CallerClose.h
+++ b/include/sequoiagate/Proxy/CallerCloseReason.h
@@ -1,5 +1,5 @@
-#ifndef SEQUOIAGATE_PROXY_CALLERCLOSE_H
-#define SEQUOIAGATE_PROXY_CALLERCLOSE_H
+#ifndef SEQUOIAGATE_PROXY_CALLERCLOSEREASON_H
+#define SEQUOIAGATE_PROXY_CALLERCLOSEREASON_H
 
 /// Why a caller's connection was closed, for logs and metrics.
 
@@ -7,7 +7,7 @@
 
 namespace sequoiagate {
 
-enum class CallerClose {
+enum class CallerCloseReason {
     Answered,    ///< behind an answer that says so
     PeerClosed,  ///< the caller closed it
     ReadFailed,  ///< reset, or lost otherwise
--- a/include/sequoiagate/Proxy/CallerConnection.h
+++ b/include/sequoiagate/Proxy/CallerConnection.h
@@ -17,14 +17,14 @@
 
 #include <boost/asio/ip/tcp.hpp>
 
-#include "sequoiagate/Proxy/AnswerSink.h"
 #include "sequoiagate/Proxy/HttpReader.h"
+#include "sequoiagate/Proxy/ResponseSink.h"
 #include "sequoiagate/Service/DeadlineTimer.h"
 
 namespace sequoiagate {
 
 /// Single-threaded.
-class CallerConnection : public std::enable_shared_from_this<CallerConnection>, private AnswerSink
+class CallerConnection : public std::enable_shared_from_this<CallerConnection>, private ResponseSink
 {
 public:
     using Closed = std::function<void(const std::shared_ptr<CallerConnection> &)>;
@@ -35,9 +35,9 @@
     /// Closes the connection if it waits for a request; else its answer says that it closes.
     void drain();
     /// Ends an open request and closes the connection behind what its caller is told.
-    void cutOff();
+    void stop();
     /// Closes it whatever it does.
-    void shutDown();
+    void forceClose();
     bool serving() const { return exchange_ != nullptr; }
 
 private:
--- a/include/sequoiagate/Proxy/ConnectionPool.h
+++ b/include/sequoiagate/Proxy/ConnectionPool.h
@@ -37,7 +37,7 @@
     /// Closes the idle connections to \p address.
     void drop(const boost::asio::ip::tcp::endpoint &address);
     /// Closes idle connections that have been idle for too long.
-    void sweep(Instant now);
+    void closeExpired(Instant now);
     std::uint64_t opened() const { return opened_; }
     std::size_t idle() const;
 
--- a/include/sequoiagate/Proxy/Dialect.h
+++ b/include/sequoiagate/Proxy/Dialect.h
@@ -25,22 +25,22 @@
 };
 
 /// What a caller says of its request.
-struct CallerTerms
+struct RequestMetadata
 {
     RequestId id;
     std::string key;
-    Interval patience = std::chrono::seconds(30); ///< how long it waits for the answer
+    Interval timeout = std::chrono::seconds(30); ///< how long it waits for the answer
     uint64_t promptTokens = 0;
-    uint64_t outputTokens = 0; ///< at most
-    bool countsTokens = false; ///< the two above were sent
+    uint64_t maxOutputTokens = 0; ///< at most
+    bool countsTokens = false;    ///< the two above were sent
     std::vector<PromptPart> prompt;
-    std::optional<uint64_t> lastEvent; ///< it goes on behind this one
+    std::optional<uint64_t> lastEventId; ///< it goes on behind this one
 };
 
 /// What an endpoint is told beside what the caller sent.
-struct ForwardTerms
+struct ForwardMetadata
 {
-    Interval patience{};
+    Interval timeout{};
     EndpointId endpoint;
     WorkspaceId workspace; ///< empty where the route needs no key
     uint32_t urgency = 5;  ///< 0 is the most urgent
@@ -49,7 +49,7 @@
 };
 
 /// What an endpoint's answer says beside its body.
-struct AnswerTerms
+struct ResponseMetadata
 {
     RequestId echoedId;
     bool notExecuted = false;            ///< the endpoint says that it did not run the request
@@ -65,14 +65,14 @@
 public:
     virtual ~Dialect() = default;
 
-    virtual CallerTerms decodeCaller(const RequestHead &head) const = 0;
+    virtual RequestMetadata decodeCaller(const RequestHead &head) const = 0;
     /// The head for the endpoint: the caller's, without what concerns the caller's
     /// connection and without what only this program may say.
     virtual RequestHead encodeForward(const RequestHead &caller,
-                                      const ForwardTerms &terms) const = 0;
-    virtual AnswerTerms decodeAnswer(const ResponseHead &head) const = 0;
+                                      const ForwardMetadata &terms) const = 0;
+    virtual ResponseMetadata decodeResponse(const ResponseHead &head) const = 0;
     /// The head for the caller of an endpoint's answer.
-    virtual ResponseHead encodeAnswer(const ResponseHead &endpoint) const = 0;
+    virtual ResponseHead encodeResponse(const ResponseHead &endpoint) const = 0;
     /// The head of this program's own answer to a request that it didn't serve.
     /// \param comeBackAfter when asking again makes sense
     virtual ResponseHead encodeRefusal(int status, const RequestId &id,
--- a/include/sequoiagate/Proxy/Exchange.h
+++ b/include/sequoiagate/Proxy/Exchange.h
@@ -22,9 +22,9 @@
 #include <boost/asio/steady_timer.hpp>
 
 #include "sequoiagate/Ledger/Charge.h"
-#include "sequoiagate/Proxy/AnswerSink.h"
-#include "sequoiagate/Proxy/CallerClose.h"
+#include "sequoiagate/Proxy/CallerCloseReason.h"
 #include "sequoiagate/Proxy/EventSplitter.h"
+#include "sequoiagate/Proxy/ResponseSink.h"
 #include "sequoiagate/Service/DeadlineTimer.h"
 
 namespace sequoiagate {
@@ -42,7 +42,7 @@
 {
 public:
     /// \pre context and sink outlive the exchange, or callerGone is called before the sink goes.
-    Exchange(ProxyContext &context, CallerRequest request, AnswerSink &sink);
+    Exchange(ProxyContext &context, CallerRequest request, ResponseSink &sink);
     ~Exchange() override;
 
     void start();
@@ -52,7 +52,7 @@
     void cutOff();
     /// The caller took bytes: more may be read from the endpoint.
     void callerTook();
-    bool ended() const { return position_.ended(); }
+    bool ended() const { return position_.isFinished(); }
 
 private:
     /// One sending to one endpoint.
@@ -63,7 +63,7 @@
         std::shared_ptr<HttpConnection> connection;
         EndpointId endpoint;
         Instant sentAt;
-        AnswerTerms terms;
+        ResponseMetadata terms;
         ResponseHead head;
         std::string body;
         EventSplitter splitter;
@@ -71,7 +71,7 @@
         bool firstEvent = false;
         bool passThrough = false; ///< a plain answer too large to be held
         /// How it counts if it ends now. An end that nobody told counts as a cut.
-        AttemptEnd end = AttemptEnd::Cut;
+        AttemptEnd end = AttemptEnd::ConnectionLost;
     };
 
     void decide();
@@ -79,7 +79,7 @@
     void reserve();
     void onReserved(std::optional<Verdict> refusal);
     void place();
-    void send(const Placed &placed);
+    void send(const PlacementTarget &placed);
     RequestHead forwardHead(Instant now, const EndpointId &endpoint) const;
 
     // ---- what comes back ----
@@ -121,19 +121,19 @@
 
     ProxyContext &context_;
     CallerRequest request_;
-    AnswerSink &sink_;
+    ResponseSink &sink_;
     ServingConfigPtr config_;
-    CallerTerms terms_;
+    RequestMetadata terms_;
     const Route *route_ = nullptr;
-    const WorkspaceTerms *workspace_ = nullptr;
-    const ServiceTerms *service_ = nullptr;
-    StatechartPosition position_;
+    const WorkspaceSpec *workspace_ = nullptr;
+    const ServiceSpec *service_ = nullptr;
+    StatechartInstance position_;
     Instant deadline_ = Never;
     boost::asio::steady_timer deadlineTimer_;
     DeadlineTimer silenceTimer_;
     Instant silentAt_ = Never; ///< the endpoint counts as silent then
     bool awaitsSilence_ = false;
-    std::optional<TokenTicket> ticket_;
+    std::optional<TokenRequestId> ticket_;
     uint64_t reserved_ = 0;
     bool holdsTokens_ = false;
     std::optional<Attempt> attempt_;
--- a/include/sequoiagate/Proxy/HttpReader.h
+++ b/include/sequoiagate/Proxy/HttpReader.h
@@ -24,12 +24,12 @@
 };
 
 /// Why a message can't be read.
-enum class HttpFault {
+enum class HttpParseError {
     None,
     Malformed,
     HeaderTooLarge,
     BodyTooLarge,
-    CutOff, ///< the connection ended before the message did
+    Truncated, ///< the connection ended before the message did
 };
 
 /// Not thread safe. One object a message.
--- a/include/sequoiagate/Proxy/ProxyContext.h
+++ b/include/sequoiagate/Proxy/ProxyContext.h
@@ -30,14 +30,14 @@
 namespace sequoiagate {
 
 /// Where a request goes.
-struct Placed
+struct PlacementTarget
 {
     EndpointId endpoint;
     boost::asio::ip::tcp::endpoint address;
-    std::string why;
+    std::string reason;
 };
 
-using Placing = std::variant<Placed, Verdict>;
+using PlacementResult = std::variant<PlacementTarget, Verdict>;
 
 /// Chooses endpoints, and hears how requests fared there. Single-threaded.
 class Placement
@@ -45,33 +45,33 @@
 public:
     virtual ~Placement() = default;
     /// \param tried endpoints that this request isn't sent to again
-    virtual Placing place(const WorkItem &item, const std::vector<PromptPart> &prompt,
-                          const std::vector<EndpointId> &tried, Instant now) = 0;
+    virtual PlacementResult place(const WorkItem &item, const std::vector<PromptPart> &prompt,
+                                  const std::vector<EndpointId> &tried, Instant now) = 0;
     virtual void onSent(const EndpointId &endpoint, const WorkItem &item, Instant now) = 0;
     virtual void onFirstToken(const EndpointId &endpoint, const RequestId &request,
                               Instant now) = 0;
-    virtual void onEnd(const TryResult &result, Instant now) = 0;
+    virtual void onAttemptEnd(const AttemptResult &result, Instant now) = 0;
     /// Another endpoint has the address, or none: the entry is out of date.
-    virtual void onMissing(const EndpointId &endpoint, Instant now) = 0;
+    virtual void onStaleEndpoint(const EndpointId &endpoint, Instant now) = 0;
     /// Whether the service may be sent one more repeat.
-    virtual bool mayRepeat(const ServiceId &service, Instant now) = 0;
+    virtual bool mayRetry(const ServiceId &service, Instant now) = 0;
     virtual void onRequest(const ServiceId &service, Instant now) = 0;
 };
 
 /// Tokens of a request that waits for them; the number tells waits apart.
-using TokenTicket = uint64_t;
+using TokenRequestId = uint64_t;
 
 /// Reserves workspaces' tokens. Single-threaded.
-class TokenDesk
+class TokenReservations
 {
 public:
-    virtual ~TokenDesk() = default;
+    virtual ~TokenReservations() = default;
     /// Calls \p handler, also from inside this call, with nothing when the tokens are
     /// reserved, or with why they can't be had.
-    virtual TokenTicket reserve(const WorkspaceId &workspace, uint64_t tokens, Instant deadline,
-                                std::function<void(std::optional<Verdict>)> handler) = 0;
+    virtual TokenRequestId reserve(const WorkspaceId &workspace, uint64_t tokens, Instant deadline,
+                                   std::function<void(std::optional<Verdict>)> handler) = 0;
     /// The request no longer waits; its handler isn't called.
-    virtual void cancel(TokenTicket ticket) = 0;
+    virtual void cancel(TokenRequestId ticket) = 0;
     virtual void settle(const WorkspaceId &workspace, uint64_t reserved, uint64_t spent) = 0;
 };
 
@@ -83,7 +83,7 @@
     const Statechart &chart; ///< share/statecharts/exchange.json
     ConnectionPool &pool;
     Placement &placement;
-    TokenDesk &tokens;
+    TokenReservations &tokens;
     LinkLoad &link;
     EventLog &log;
     Metrics &metrics;
--- a/include/sequoiagate/Proxy/AnswerSink.h
+++ b/include/sequoiagate/Proxy/ResponseSink.h
@@ -1,5 +1,5 @@
-#ifndef SEQUOIAGATE_PROXY_ANSWERSINK_H
-#define SEQUOIAGATE_PROXY_ANSWERSINK_H
+#ifndef SEQUOIAGATE_PROXY_RESPONSESINK_H
+#define SEQUOIAGATE_PROXY_RESPONSESINK_H
 
 /// The caller's side of one exchange.
 
@@ -11,10 +11,10 @@
 namespace sequoiagate {
 
 /// Single-threaded. Of answer, endStream and abort exactly one ends the exchange.
-class AnswerSink
+class ResponseSink
 {
 public:
-    virtual ~AnswerSink() = default;
+    virtual ~ResponseSink() = default;
     /// A whole answer.
     virtual void answer(ResponseHead head, std::string_view body) = 0;
     virtual void beginStream(ResponseHead head) = 0;
--- a/include/sequoiagate/Router/ChatDriver.h
+++ b/include/sequoiagate/Router/ChatDriver.h
@@ -68,7 +68,7 @@
     const ChatOrder &order_;
     WorkItem item_;
     AttemptId attempt_;
-    StatechartPosition position_;
+    StatechartInstance position_;
     bool admitted_ = false;
     bool reserved_ = false;
     wire::Reservation reservation_;
--- a/include/sequoiagate/Router/DrainGate.h
+++ b/include/sequoiagate/Router/DrainGate.h
@@ -37,7 +37,7 @@
 
     mutable absl::Mutex mutex_;
     absl::CondVar left_;
-    StatechartPosition position_;
+    StatechartInstance position_;
     std::size_t inside_ = 0;
 };
 
--- a/include/sequoiagate/Router/Scheduler.h
+++ b/include/sequoiagate/Router/Scheduler.h
@@ -11,7 +11,7 @@
 #include <absl/synchronization/mutex.h>
 
 #include "sequoiagate/Decisions/Admission.h"
-#include "sequoiagate/Decisions/EndpointChoice.h"
+#include "sequoiagate/Decisions/EndpointSelector.h"
 #include "sequoiagate/Decisions/RetryBudget.h"
 #include "sequoiagate/Router/RouterView.h"
 
@@ -34,7 +34,7 @@
     /// \throws VerdictError when no endpoint can take it.
     EndpointId choose(const WorkItem &item, const std::vector<EndpointId> &tried);
     void onFirstToken(const WorkItem &item, const EndpointId &endpoint);
-    void onEnd(const TryResult &result);
+    void onEnd(const AttemptResult &result);
     bool mayRetry(const Verdict &verdict, bool idempotent);
 
     void applyView(const RouterView &view);
@@ -53,7 +53,7 @@
 
     mutable absl::Mutex mutex_;
     Admission admission_;
-    EndpointChoice choice_;
+    EndpointSelector choice_;
     RetryBudget retries_;
     uint32_t slotLimit_; ///< of the settings; the endpoints' room may be less
     std::unordered_map<RequestId, Waiter *> waiters_;
--- a/lib/Config/ConfigFold.cpp
+++ b/lib/Config/ConfigFold.cpp
@@ -28,7 +28,7 @@
     }
     uint64_t &mark = writers_[Incarnation(record.writer())];
     if (record.sequence() <= mark) {
-        return {FoldOutcome::Doubled, "folded before", 0};
+        return {FoldOutcome::Duplicate, "folded before", 0};
     }
     mark = record.sequence();
     if (record.has_checkpoint()) {
@@ -53,8 +53,8 @@
         return refused(fmt::format("built on version {}, the current one is {}",
                                    change.base_version(), state_.version()));
     }
-    ConfigDraft draft(state_, keys_, safeguards_);
-    if (std::optional<std::string> fault = draft.add(change)) {
+    StagedConfigChange draft(state_, keys_, safeguards_);
+    if (std::optional<std::string> fault = draft.stage(change)) {
         return refused(std::move(*fault));
     }
     draft.commit(state_, keys_);
@@ -76,7 +76,7 @@
     }
 }
 
-bool ConfigFold::takeNewer(const wire::ConfigState &state)
+bool ConfigFold::adoptIfNewer(const wire::ConfigState &state)
 {
     const bool newer = state.version() > state_.version()
                        || (state.version() == state_.version() && state.offset() > state_.offset());
@@ -125,15 +125,15 @@
     }
 }
 
-const wire::WorkspaceConfig *ConfigFold::workspace(const WorkspaceId &workspace) const
+const wire::WorkspaceConfig *ConfigFold::findWorkspace(const WorkspaceId &workspace) const
 {
     return findEntry(state_.workspaces(), workspace.text());
 }
 
-const wire::WorkspaceConfig *ConfigFold::workspaceOfKeyHash(const std::string &keyHash) const
+const wire::WorkspaceConfig *ConfigFold::findWorkspaceByKeyHash(const std::string &keyHash) const
 {
     const auto found = keys_.find(keyHash);
-    return found == keys_.end() ? nullptr : workspace(found->second);
+    return found == keys_.end() ? nullptr : findWorkspace(found->second);
 }
 
 uint64_t prepaidTotal(const wire::WorkspaceConfig &workspace)
--- a/lib/Config/SheetReader.h
+++ b/lib/Config/CsvReader.h
@@ -1,5 +1,5 @@
-#ifndef LIB_CONFIG_SHEETREADER_H
-#define LIB_CONFIG_SHEETREADER_H
+#ifndef LIB_CONFIG_CSVREADER_H
+#define LIB_CONFIG_CSVREADER_H
 
 /// The lower half of the sheet's reader: bytes to rows of text, with the line on
 /// which each row begins.
@@ -22,7 +22,7 @@
 struct CsvText
 {
     std::vector<CsvRow> rows; ///< blank lines left out
-    SheetFaults faults;       ///< lines that aren't CSV, aren't text, or are cut off
+    SheetErrors faults;       ///< lines that aren't CSV, aren't text, or are cut off
 };
 
 /// Splits \p bytes by RFC 4180, with a byte order mark and either line end. Reading
--- a/lib/Config/ServingConfig.cpp
+++ b/lib/Config/ServingConfig.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-void ServingConfig::index()
+void ServingConfig::buildIndexes()
 {
     for (std::size_t i = 0; i < routes.size(); ++i) {
         routeByPlace_[placeOf(routes[i].host, routes[i].pathPrefix)] = i;
@@ -46,7 +46,7 @@
     }
 }
 
-const Route *ServingConfig::route(std::string_view host, std::string_view path) const
+const Route *ServingConfig::findRoute(std::string_view host, std::string_view path) const
 {
     const std::string name = plainHost(host);
     const std::string_view plain = path.substr(0, path.find('?'));
@@ -63,19 +63,19 @@
     return nullptr;
 }
 
-const WorkspaceTerms *ServingConfig::workspaceOfKey(const std::string &key) const
+const WorkspaceSpec *ServingConfig::findWorkspaceByKey(const std::string &key) const
 {
     const auto found = workspaceByKey_.find(key);
     return found == workspaceByKey_.end() ? nullptr : &workspaces[found->second];
 }
 
-const WorkspaceTerms *ServingConfig::workspace(const WorkspaceId &name) const
+const WorkspaceSpec *ServingConfig::findWorkspace(const WorkspaceId &name) const
 {
     const auto found = workspaceByName_.find(name.text());
     return found == workspaceByName_.end() ? nullptr : &workspaces[found->second];
 }
 
-const ServiceTerms *ServingConfig::service(const ServiceId &name) const
+const ServiceSpec *ServingConfig::findService(const ServiceId &name) const
 {
     const auto found = serviceByName_.find(name.text());
     return found == serviceByName_.end() ? nullptr : &services[found->second];
--- a/lib/Config/Sheet.cpp
+++ b/lib/Config/Sheet.cpp
@@ -215,7 +215,7 @@
 class SheetParser
 {
 public:
-    SheetOutcome parse(CsvText text)
+    ParseSheetResult parse(CsvText text)
     {
         faults_ = std::move(text.faults);
         if (text.rows.empty()) {
@@ -239,7 +239,7 @@
             return std::move(sheet_);
         }
         std::stable_sort(faults_.begin(), faults_.end(),
-                         [](const SheetFault &left, const SheetFault &right) {
+                         [](const SheetError &left, const SheetError &right) {
                              return left.line < right.line;
                          });
         return std::move(faults_);
@@ -374,7 +374,7 @@
     }
 
     Sheet sheet_;
-    SheetFaults faults_;
+    SheetErrors faults_;
     std::vector<const Column *> order_;
     std::unordered_map<std::string, std::size_t> places_;
     bool headerGood_ = true;
@@ -383,7 +383,7 @@
 
 } // namespace
 
-std::string describe(const SheetFault &fault)
+std::string describe(const SheetError &fault)
 {
     if (fault.line == 0) {
         return fault.reason;
@@ -394,7 +394,7 @@
     return fmt::format("line {}, column {}: {}", fault.line, fault.column, fault.reason);
 }
 
-SheetOutcome parseSheet(std::string_view bytes)
+ParseSheetResult parseSheet(std::string_view bytes)
 {
     return SheetParser().parse(readCsv(bytes));
 }
--- a/lib/Config/SheetChange.cpp
+++ b/lib/Config/SheetChange.cpp
@@ -75,7 +75,7 @@
     }
 
     /// Nothing: no difference.
-    std::optional<wire::WorkspaceChange> find(SheetFaults &faults)
+    std::optional<wire::WorkspaceChange> find(SheetErrors &faults)
     {
         bool changed = false;
         if (known_.name() != sheet_.name) {
@@ -97,7 +97,7 @@
     }
 
 private:
-    void addTopUps(SheetFaults &faults)
+    void addTopUps(SheetErrors &faults)
     {
         uint64_t total = prepaidTotal(known_) - known_.budget_tokens() + sheet_.budgetTokens;
         for (const SheetTopUp &topUp : sheet_.topUps) {
@@ -129,14 +129,14 @@
 
 } // namespace
 
-SheetChangeOutcome changeFor(const Sheet &sheet, const wire::ConfigState &state,
-                             const std::string &author, const std::string &note)
+SheetChangeResult makeConfigChange(const Sheet &sheet, const wire::ConfigState &state,
+                                   const std::string &author, const std::string &note)
 {
     wire::ConfigChange change;
     change.set_base_version(state.version());
     change.set_author(author);
     change.set_note(note);
-    SheetFaults faults;
+    SheetErrors faults;
     const KnownWorkspaces known(state);
     for (const SheetWorkspace &workspace : sheet.workspaces) {
         std::optional<wire::WorkspaceChange> difference =
--- a/lib/Config/ConfigDraft.cpp
+++ b/lib/Config/StagedConfigChange.cpp
@@ -44,7 +44,7 @@
 
 } // namespace
 
-std::optional<std::string> ConfigDraft::add(const wire::ConfigChange &change)
+std::optional<std::string> StagedConfigChange::stage(const wire::ConfigChange &change)
 {
     for (const wire::WorkspaceChange &workspace : change.workspaces()) {
         if (workspace.workspace().empty()) {
@@ -73,7 +73,7 @@
     return std::nullopt;
 }
 
-wire::WorkspaceConfig &ConfigDraft::workspaceToChange(const std::string &name)
+wire::WorkspaceConfig &StagedConfigChange::workspaceToChange(const std::string &name)
 {
     const auto [place, isNew] = workspaces_.try_emplace(name);
     if (!isNew) {
@@ -90,7 +90,7 @@
     return place->second;
 }
 
-void ConfigDraft::applyWorkspace(const wire::WorkspaceChange &change)
+void StagedConfigChange::applyWorkspace(const wire::WorkspaceChange &change)
 {
     wire::WorkspaceConfig &workspace = workspaceToChange(change.workspace());
     if (!change.name().empty()) {
@@ -106,13 +106,13 @@
     changeKeys(change, workspace);
 }
 
-void ConfigDraft::addTopUps(const wire::WorkspaceChange &change,
-                            wire::WorkspaceConfig &workspace) const
+void StagedConfigChange::addTopUps(const wire::WorkspaceChange &change,
+                                   wire::WorkspaceConfig &workspace) const
 {
     for (const wire::TopUp &topUp : change.top_ups()) {
         // The planners' export is a whole day's sheet and is applied again after every
         // correction: without the ids, each time would add the tokens once more.
-        if (safeguards_.topUpOnce && hasTopUp(workspace, topUp.id())) {
+        if (safeguards_.deduplicateTopUps && hasTopUp(workspace, topUp.id())) {
             continue;
         }
         *workspace.add_top_ups() = topUp;
@@ -121,13 +121,13 @@
 
 /// Does \p owner still have its keys once the draft is in place, without the draft
 /// saying so itself?
-bool ConfigDraft::keepsKey(const WorkspaceId &owner) const
+bool StagedConfigChange::keepsKey(const WorkspaceId &owner) const
 {
     return !workspaces_.contains(owner.text()) && !removedWorkspaces_.contains(owner.text());
 }
 
-std::optional<std::string> ConfigDraft::faultOf(const wire::WorkspaceConfig &workspace,
-                                                std::set<std::string> &seenKeys) const
+std::optional<std::string> StagedConfigChange::faultOf(const wire::WorkspaceConfig &workspace,
+                                                       std::set<std::string> &seenKeys) const
 {
     if (totalOverflows(workspace)) {
         return fmt::format("the prepaid total of workspace {} overflows", workspace.workspace());
@@ -144,7 +144,7 @@
     return std::nullopt;
 }
 
-void ConfigDraft::commit(wire::ConfigState &state, KeyIndex &keys) const
+void StagedConfigChange::commit(wire::ConfigState &state, KeyIndex &keys) const
 {
     commitKeys(state, keys);
     commitWorkspaces(state);
@@ -152,7 +152,7 @@
     commitEndpoints(state);
 }
 
-void ConfigDraft::commitKeys(const wire::ConfigState &state, KeyIndex &keys) const
+void StagedConfigChange::commitKeys(const wire::ConfigState &state, KeyIndex &keys) const
 {
     // First all that go, then all that come: a key may move from one to another.
     const auto forget = [&state, &keys](const std::string &name) {
@@ -180,7 +180,7 @@
     }
 }
 
-void ConfigDraft::commitWorkspaces(wire::ConfigState &state) const
+void StagedConfigChange::commitWorkspaces(wire::ConfigState &state) const
 {
     auto &entries = *state.mutable_workspaces();
     wire::ConfigState added;
@@ -198,7 +198,7 @@
     }
 }
 
-void ConfigDraft::commitRemovals(wire::ConfigState &state) const
+void StagedConfigChange::commitRemovals(wire::ConfigState &state) const
 {
     bool removed = false;
     for (const std::string &name : removedWorkspaces_) {
@@ -217,7 +217,7 @@
     }
 }
 
-void ConfigDraft::commitEndpoints(wire::ConfigState &state) const
+void StagedConfigChange::commitEndpoints(wire::ConfigState &state) const
 {
     auto &entries = *state.mutable_endpoints();
     wire::ConfigState added;
--- a/lib/Config/ConfigDraft.h
+++ b/lib/Config/StagedConfigChange.h
@@ -1,5 +1,5 @@
-#ifndef LIB_CONFIG_CONFIGDRAFT_H
-#define LIB_CONFIG_CONFIGDRAFT_H
+#ifndef LIB_CONFIG_STAGEDCONFIGCHANGE_H
+#define LIB_CONFIG_STAGEDCONFIGCHANGE_H
 
 /// A configuration change on its way into the state: worked out and checked aside, so
 /// that a refused one has no effect, and put in place only where it changes something,
@@ -22,16 +22,17 @@
 using KeyIndex = std::unordered_map<std::string, WorkspaceId>;
 
 /// Not thread safe. Used once.
-class ConfigDraft
+class StagedConfigChange
 {
 public:
     /// \pre state and keys outlive this, and belong together.
-    ConfigDraft(const wire::ConfigState &state, const KeyIndex &keys, ConfigSafeguards safeguards)
+    StagedConfigChange(const wire::ConfigState &state, const KeyIndex &keys,
+                       ConfigSafeguards safeguards)
         : state_(state), keys_(keys), safeguards_(safeguards)
     {}
 
     /// Works \p change out. \returns why it is refused; nothing: it may be committed.
-    std::optional<std::string> add(const wire::ConfigChange &change);
+    std::optional<std::string> stage(const wire::ConfigChange &change);
     /// Puts the draft in place. \pre add found no fault; state and keys are those that
     /// this was made with.
     void commit(wire::ConfigState &state, KeyIndex &keys) const;
--- a/lib/Decisions/RetryAllotment.cpp
+++ b/lib/Decisions/DistributedRetryBudget.cpp
@@ -1,4 +1,4 @@
-#include "sequoiagate/Decisions/RetryAllotment.h"
+#include "sequoiagate/Decisions/DistributedRetryBudget.h"
 
 namespace sequoiagate {
 
@@ -13,26 +13,26 @@
 
 } // namespace
 
-void RetryAllotment::expire(Counts &counts, Instant now) const
+void DistributedRetryBudget::expire(Counts &counts, Instant now) const
 {
     dropBefore(counts.requests, now - settings_.window);
     dropBefore(counts.repeats, now - settings_.window);
 }
 
-void RetryAllotment::onRequest(const ServiceId &service, Instant now)
+void DistributedRetryBudget::onRequest(const ServiceId &service, Instant now)
 {
     Counts &counts = services_[service];
     expire(counts, now);
     counts.requests.push_back(now);
 }
 
-bool RetryAllotment::mayRepeat(const ServiceId &service, Instant now)
+bool DistributedRetryBudget::mayRetry(const ServiceId &service, Instant now)
 {
     Counts &counts = services_[service];
     expire(counts, now);
     const double bound = settings_.ratio * static_cast<double>(counts.requests.size())
-                         + settings_.slack / processes_;
-    if (static_cast<double>(counts.repeats.size() + 1) > settings_.use * bound) {
+                         + settings_.baseRetries / processes_;
+    if (static_cast<double>(counts.repeats.size() + 1) > settings_.usableFraction * bound) {
         return false;
     }
     counts.repeats.push_back(now);
--- a/lib/Decisions/EndpointChoice.cpp
+++ b/lib/Decisions/EndpointSelector.cpp
@@ -1,4 +1,4 @@
-#include "sequoiagate/Decisions/EndpointChoice.h"
+#include "sequoiagate/Decisions/EndpointSelector.h"
 
 #include <algorithm>
 #include <array>
@@ -33,11 +33,11 @@
 
 } // namespace
 
-EndpointChoice::EndpointChoice(DomainId self, EndpointChoiceSettings settings)
+EndpointSelector::EndpointSelector(DomainId self, EndpointSelectorSettings settings)
     : self_(std::move(self)), settings_(settings), random_(settings.seed)
 {}
 
-void EndpointChoice::setEndpoints(const std::vector<EndpointSpec> &endpoints, Instant now)
+void EndpointSelector::setEndpoints(const std::vector<EndpointSpec> &endpoints, Instant now)
 {
     const bool firstSet = endpoints_.empty();
     std::vector<Endpoint> updated;
@@ -61,15 +61,15 @@
         index_[endpoints_[i].spec.id] = i;
         for (const ServiceId &name : endpoints_[i].spec.services) {
             const auto added = services_.try_emplace(
-                    name, Service{{}, OutlierDetection(settings_.health), LongWork()});
+                    name, Service{{}, OutlierDetection(settings_.health), LongPromptLanes()});
             added.first->second.endpoints.push_back(i);
         }
     }
     std::erase_if(services_, [](const auto &entry) { return entry.second.endpoints.empty(); });
 }
 
-ChoiceOutcome EndpointChoice::choose(const WorkItem &item, const std::vector<EndpointId> &tried,
-                                     Instant now)
+SelectionOutcome EndpointSelector::select(const WorkItem &item,
+                                          const std::vector<EndpointId> &tried, Instant now)
 {
     const auto found = services_.find(item.service);
     if (found == services_.end()) {
@@ -81,36 +81,37 @@
     const bool isLong = settings_.longWorkLanes && tried.empty()
                         && service.longWork.classify(item.promptTokens, now);
     if (Endpoint *probed = probe(service, item, isLong, tried, now); probed != nullptr) {
-        return Chosen{probed->spec.id, "probe"};
+        return SelectedEndpoint{probed->spec.id, "probe"};
     }
     gather(service, tried, now);
     if (candidates_.empty()) {
         if (Endpoint *last = lastResort(service, tried, now); last != nullptr) {
-            return Chosen{last->spec.id, "last_resort"};
+            return SelectedEndpoint{last->spec.id, "last_resort"};
         }
         return noEndpoint(service, tried, now);
     }
     markLanes(service, item.service, now);
     if (worthTheWay(item)) {
-        return Chosen{amongHomes(item, now).endpoint->spec.id, "prefix_home"};
+        return SelectedEndpoint{amongHomes(item, now).endpoint->spec.id, "prefix_home"};
     }
     for (const bool localOnly : {true, false}) {
         markRoomy(isLong, localOnly, now);
-        if (const std::optional<Chosen> chosen = chooseRoomy(item, localOnly, now)) {
+        if (const std::optional<SelectedEndpoint> chosen = chooseRoomy(item, localOnly, now)) {
             return *chosen;
         }
     }
-    return Chosen{leastCost(item, isLong, now)->endpoint->spec.id, "least_cost"};
+    return SelectedEndpoint{leastCost(item, isLong, now)->endpoint->spec.id, "least_cost"};
 }
 
-bool EndpointChoice::worthTheWay(const WorkItem &item) const
+bool EndpointSelector::worthTheWay(const WorkItem &item) const
 {
-    const double spared = static_cast<double>(item.sharedTokens) / settings_.prefillTokensPerSecond;
+    const double spared =
+            static_cast<double>(item.cacheablePrefixTokens) / settings_.prefillTokensPerSecond;
     return settings_.prefixHomes > 0 && item.prefixHash != 0
            && spared > secondsOf(settings_.roundTripElsewhere);
 }
 
-double EndpointChoice::loadSeconds(const Candidate &candidate)
+double EndpointSelector::loadSeconds(const Candidate &candidate)
 {
     // Prompts that wait for their first token, and a little for each open stream.
     constexpr double StreamSeconds = 0.02;
@@ -118,7 +119,7 @@
            + StreamSeconds * candidate.endpoint->load.own();
 }
 
-const EndpointChoice::Candidate &EndpointChoice::amongHomes(const WorkItem &item, Instant now)
+const EndpointSelector::Candidate &EndpointSelector::amongHomes(const WorkItem &item, Instant now)
 {
     double mean = 0.0;
     for (const Candidate &candidate : candidates_) {
@@ -134,9 +135,9 @@
     // What the first home has read another reads again, unless it was sent the prefix before.
     // Where a router has less than one request at an endpoint it doesn't see how full that is;
     // all would keep to the first home, whose callers wait while the second one idles.
-    const double again = settings_.rereadWeight * static_cast<double>(item.sharedTokens)
+    const double again = settings_.rereadWeight * static_cast<double>(item.cacheablePrefixTokens)
                          / settings_.prefillTokensPerSecond;
-    const double routers = std::max(settings_.routers, 1U);
+    const double routers = std::max(settings_.routerCount, 1U);
     const Candidate *best = nullptr;
     double bestCost = 0.0;
     uint32_t seen = 0;
@@ -156,7 +157,7 @@
     return *best;
 }
 
-void EndpointChoice::reviewHealth(Service &service, Instant now)
+void EndpointSelector::reviewHealth(Service &service, Instant now)
 {
     if (!service.outliers.due(now)) {
         return;
@@ -169,7 +170,7 @@
     service.outliers.review(peers, now);
 }
 
-EndpointChoice::Usability EndpointChoice::usability(const Endpoint &endpoint, Instant now)
+EndpointSelector::Usability EndpointSelector::usability(const Endpoint &endpoint, Instant now)
 {
     const LoadReport &report = endpoint.load.report();
     if (endpoint.spec.leaving || report.leaving) {
@@ -184,15 +185,15 @@
     return endpoint.health.probing(now) ? Usability::Probing : Usability::Usable;
 }
 
-const char *EndpointChoice::usabilityName(Usability usability)
+const char *EndpointSelector::usabilityName(Usability usability)
 {
     static constexpr std::array<const char *, 5> Names = {"usable", "leaving", "unreachable",
                                                           "ejected", "probing"};
     return Names[static_cast<std::size_t>(usability)];
 }
 
-void EndpointChoice::gather(const Service &service, const std::vector<EndpointId> &tried,
-                            Instant now)
+void EndpointSelector::gather(const Service &service, const std::vector<EndpointId> &tried,
+                              Instant now)
 {
     candidates_.clear();
     double reported = 0.0;
@@ -215,9 +216,9 @@
     }
 }
 
-EndpointChoice::Endpoint *EndpointChoice::lastResort(const Service &service,
-                                                     const std::vector<EndpointId> &tried,
-                                                     Instant now)
+EndpointSelector::Endpoint *EndpointSelector::lastResort(const Service &service,
+                                                         const std::vector<EndpointId> &tried,
+                                                         Instant now)
 {
     // A slow or doubtful endpoint is better than none.
     Endpoint *best = nullptr;
@@ -235,9 +236,10 @@
     return best;
 }
 
-EndpointChoice::Endpoint *EndpointChoice::probe(const Service &service, const WorkItem &item,
-                                                bool isLong, const std::vector<EndpointId> &tried,
-                                                Instant now)
+EndpointSelector::Endpoint *EndpointSelector::probe(const Service &service, const WorkItem &item,
+                                                    bool isLong,
+                                                    const std::vector<EndpointId> &tried,
+                                                    Instant now)
 {
     // A first try that can be made again, and whose wait is short if all is well.
     if (!service.outliers.someOut() || !item.idempotent || isLong || !tried.empty()) {
@@ -252,7 +254,7 @@
     return nullptr;
 }
 
-void EndpointChoice::markLanes(const Service &service, const ServiceId &name, Instant now)
+void EndpointSelector::markLanes(const Service &service, const ServiceId &name, Instant now)
 {
     double fill = 0.0;
     for (const Candidate &candidate : candidates_) {
@@ -275,7 +277,7 @@
     }
 }
 
-void EndpointChoice::markRoomy(bool isLong, bool localOnly, Instant now)
+void EndpointSelector::markRoomy(bool isLong, bool localOnly, Instant now)
 {
     double sum = 0.0;
     double ownSum = 0.0;
@@ -295,8 +297,8 @@
         const Endpoint &endpoint = *candidate.endpoint;
         // One request is always allowed: near idle, a bound below it would send a prefix
         // to a cold endpoint each time.
-        const double free = std::max(1.0, settings_.freeShare * candidate.slots
-                                                  / std::max(settings_.routers, 1U));
+        const double free = std::max(1.0, settings_.boundExemptShare * candidate.slots
+                                                  / std::max(settings_.routerCount, 1U));
         const bool first = endpoint.load.own() < free && candidate.fill < 1.0;
         const bool even = candidate.fill < bound && candidate.ownFill < ownBound;
         candidate.roomy = candidate.lane == isLong && (candidate.local || !localOnly)
@@ -305,31 +307,34 @@
     }
 }
 
-Interval EndpointChoice::backlog(const Endpoint &endpoint, Instant now)
+Interval EndpointSelector::backlog(const Endpoint &endpoint, Instant now)
 {
     // By the clock, and by what hasn't come: other routers' prompts are in its way too.
     return std::max({endpoint.prefillUntil - now, endpoint.health.pendingWork(), Interval::zero()});
 }
 
-std::optional<Chosen> EndpointChoice::chooseRoomy(const WorkItem &item, bool localOnly, Instant now)
+std::optional<SelectedEndpoint> EndpointSelector::chooseRoomy(const WorkItem &item, bool localOnly,
+                                                              Instant now)
 {
     if (item.prefixHash != 0) {
         if (const Candidate *holder = byPrefix(item.prefixHash, true, now)) {
-            return Chosen{holder->endpoint->spec.id, localOnly ? "prefix_cached" : "prefix_spill"};
+            return SelectedEndpoint{holder->endpoint->spec.id,
+                                    localOnly ? "prefix_cached" : "prefix_spill"};
         }
         if (const Candidate *home = byPrefix(item.prefixHash, false, now)) {
-            return Chosen{home->endpoint->spec.id, localOnly ? "prefix_home" : "prefix_spill"};
+            return SelectedEndpoint{home->endpoint->spec.id,
+                                    localOnly ? "prefix_home" : "prefix_spill"};
         }
         return std::nullopt;
     }
     if (const Candidate *best = bestOfTwo(item, now)) {
-        return Chosen{best->endpoint->spec.id, localOnly ? "least_loaded" : "spill"};
+        return SelectedEndpoint{best->endpoint->spec.id, localOnly ? "least_loaded" : "spill"};
     }
     return std::nullopt;
 }
 
-const EndpointChoice::Candidate *EndpointChoice::byPrefix(uint64_t prefix, bool holdersOnly,
-                                                          Instant now) const
+const EndpointSelector::Candidate *EndpointSelector::byPrefix(uint64_t prefix, bool holdersOnly,
+                                                              Instant now) const
 {
     const Candidate *best = nullptr;
     uint64_t bestWeight = 0;
@@ -350,7 +355,7 @@
     return best;
 }
 
-const EndpointChoice::Candidate *EndpointChoice::bestOfTwo(const WorkItem &item, Instant now)
+const EndpointSelector::Candidate *EndpointSelector::bestOfTwo(const WorkItem &item, Instant now)
 {
     // Reservoir sampling of two in one pass.
     std::array<const Candidate *, 2> picked = {nullptr, nullptr};
@@ -371,8 +376,8 @@
     return cost(*picked[0], item, now) <= cost(*picked[1], item, now) ? picked[0] : picked[1];
 }
 
-const EndpointChoice::Candidate *EndpointChoice::leastCost(const WorkItem &item, bool isLong,
-                                                           Instant now)
+const EndpointSelector::Candidate *EndpointSelector::leastCost(const WorkItem &item, bool isLong,
+                                                               Instant now)
 {
     // Routers that hold the same reports must not all take the same endpoint.
     std::uniform_real_distribution<double> apart(0.0, OverflowSeconds);
@@ -389,7 +394,7 @@
     return best;
 }
 
-double EndpointChoice::cost(const Candidate &candidate, const WorkItem &item, Instant now) const
+double EndpointSelector::cost(const Candidate &candidate, const WorkItem &item, Instant now) const
 {
     const Endpoint &endpoint = *candidate.endpoint;
     const bool cached =
@@ -404,21 +409,21 @@
     return seconds;
 }
 
-Interval EndpointChoice::expectedPrefill(uint64_t promptTokens) const
+Interval EndpointSelector::expectedPrefill(uint64_t promptTokens) const
 {
     const double tokens = static_cast<double>(promptTokens);
     return settings_.prefillBase + intervalOf(tokens / settings_.prefillTokensPerSecond);
 }
 
-double EndpointChoice::roundTripSeconds(const DomainId &domain) const
+double EndpointSelector::roundTripSeconds(const DomainId &domain) const
 {
     const auto measured = roundTrips_.find(domain);
     return measured == roundTrips_.end() ? secondsOf(settings_.roundTripElsewhere)
                                          : measured->second.mean();
 }
 
-Verdict EndpointChoice::noEndpoint(const Service &service, const std::vector<EndpointId> &tried,
-                                   Instant now) const
+Verdict EndpointSelector::noEndpoint(const Service &service, const std::vector<EndpointId> &tried,
+                                     Instant now) const
 {
     std::array<uint32_t, 5> counts = {};
     uint32_t triedCount = 0;
@@ -439,7 +444,7 @@
     return {Execution::NotRun, Reason::NoEndpoint, detail, now + RetryAfterNoEndpoint};
 }
 
-void EndpointChoice::onSent(const EndpointId &endpoint, const WorkItem &item, Instant now)
+void EndpointSelector::onSent(const EndpointId &endpoint, const WorkItem &item, Instant now)
 {
     Endpoint *found = find(endpoint);
     if (found == nullptr) {
@@ -459,14 +464,15 @@
     }
 }
 
-void EndpointChoice::onFirstToken(const EndpointId &endpoint, const RequestId &request, Instant now)
+void EndpointSelector::onFirstToken(const EndpointId &endpoint, const RequestId &request,
+                                    Instant now)
 {
     if (Endpoint *found = find(endpoint); found != nullptr) {
         found->health.onFirstToken(request, now);
     }
 }
 
-void EndpointChoice::onEnd(const TryResult &result, Instant now)
+void EndpointSelector::onEnd(const AttemptResult &result, Instant now)
 {
     Endpoint *found = find(result.endpoint);
     if (found == nullptr) {
@@ -482,7 +488,7 @@
     }
 }
 
-void EndpointChoice::onReport(const LoadReport &report, Instant now)
+void EndpointSelector::onReport(const LoadReport &report, Instant now)
 {
     Endpoint *found = find(report.endpoint);
     if (found == nullptr) {
@@ -495,8 +501,8 @@
     }
 }
 
-void EndpointChoice::onCacheEvent(const EndpointId &endpoint, uint64_t prefix, bool stored,
-                                  Instant observedAt)
+void EndpointSelector::onCacheEvent(const EndpointId &endpoint, uint64_t prefix, bool stored,
+                                    Instant observedAt)
 {
     const Endpoint *found = find(endpoint);
     if (found == nullptr) {
@@ -509,13 +515,13 @@
     }
 }
 
-void EndpointChoice::onRoundTrip(const DomainId &domain, Interval roundTrip)
+void EndpointSelector::onRoundTrip(const DomainId &domain, Interval roundTrip)
 {
     const auto added = roundTrips_.try_emplace(domain, MovingMean(RoundTripSamples));
     added.first->second.add(secondsOf(roundTrip));
 }
 
-std::vector<UnservedRoute> EndpointChoice::unserved(const ServiceId &service, Instant now) const
+std::vector<UnservedRoute> EndpointSelector::unserved(const ServiceId &service, Instant now) const
 {
     std::vector<UnservedRoute> routes;
     const auto found = services_.find(service);
@@ -531,7 +537,7 @@
     return routes;
 }
 
-uint32_t EndpointChoice::totalSlots(Instant now) const
+uint32_t EndpointSelector::concurrencyLimit(Instant now) const
 {
     double own = 0.0;
     double ownWhenReported = 0.0;
@@ -559,7 +565,7 @@
     // Summed over all before the difference is taken: an endpoint that is overrun must
     // count against another's room, or uneven choices add up to an overrun fleet.
     const double room = settings_.fullest * slots - everybodys;
-    const double equalPart = 1.0 / std::max(settings_.routers, 1U);
+    const double equalPart = 1.0 / std::max(settings_.routerCount, 1U);
     // Shares grow by half an equal step and shrink by what each has, which pulls them
     // together (Chiu and Jain, 1989).
     const double change = room > 0.0 ? room * (part + equalPart) / 2.0 : room * part;
@@ -567,13 +573,13 @@
     return static_cast<uint32_t>(std::max(own + change, least) + ownElsewhere);
 }
 
-double EndpointChoice::partOf(double own, double everybodys) const
+double EndpointSelector::partOf(double own, double everybodys) const
 {
-    const double equalPart = 1.0 / std::max(settings_.routers, 1U);
+    const double equalPart = 1.0 / std::max(settings_.routerCount, 1U);
     return everybodys > 0.0 ? std::clamp(own / everybodys, equalPart, 1.0) : 1.0;
 }
 
-EndpointChoice::Endpoint *EndpointChoice::find(const EndpointId &id)
+EndpointSelector::Endpoint *EndpointSelector::find(const EndpointId &id)
 {
     const auto found = index_.find(id);
     return found == index_.end() ? nullptr : &endpoints_[found->second];
--- a/lib/Decisions/LongWork.cpp
+++ b/lib/Decisions/LongPromptLanes.cpp
@@ -1,4 +1,4 @@
-#include "sequoiagate/Decisions/LongWork.h"
+#include "sequoiagate/Decisions/LongPromptLanes.h"
 
 #include <algorithm>
 #include <cmath>
@@ -18,11 +18,11 @@
 
 } // namespace
 
-LongWork::LongWork()
+LongPromptLanes::LongPromptLanes()
     : shortPrompt_(PromptSamples), longShare_(ShareSamples), longPrompt_(PromptSamples)
 {}
 
-bool LongWork::classify(uint64_t promptTokens, Instant now)
+bool LongPromptLanes::classify(uint64_t promptTokens, Instant now)
 {
     const double tokens = static_cast<double>(promptTokens);
     const bool known = shortPrompt_.samples() >= FewestSamples;
@@ -37,7 +37,7 @@
     return false;
 }
 
-std::size_t LongWork::lanes(std::size_t endpoints, double fill, Instant now) const
+std::size_t LongPromptLanes::lanes(std::size_t endpoints, double fill, Instant now) const
 {
     if (now >= lanesUntil_ || longPrompt_.samples() == 0) {
         return 0;
--- a/lib/Decisions/StartLimit.cpp
+++ b/lib/Decisions/PrefillLimit.cpp
@@ -1,4 +1,4 @@
-#include "sequoiagate/Decisions/StartLimit.h"
+#include "sequoiagate/Decisions/PrefillLimit.h"
 
 #include <algorithm>
 
@@ -15,16 +15,16 @@
 
 } // namespace
 
-StartLimit::StartLimit(Interval target)
+PrefillLimit::PrefillLimit(Interval target)
     : target_(target), unloadedSeconds_(Samples), seconds_(Samples)
 {}
 
-Interval StartLimit::lateAfter() const
+Interval PrefillLimit::lateAfter() const
 {
     return std::max(target_, intervalOf(LateFactor * unloadedSeconds_.mean()));
 }
 
-void StartLimit::onFirstToken(Interval took, uint32_t starting, Instant now)
+void PrefillLimit::onFirstToken(Interval took, uint32_t starting, Instant now)
 {
     seconds_.add(secondsOf(took));
     if (starting <= Least) {
@@ -44,7 +44,7 @@
     mayFallAt_ = now + took;
 }
 
-double StartLimit::perSecond() const
+double PrefillLimit::perSecond() const
 {
     constexpr double Shortest = 1e-3;
     return seconds_.samples() == 0 ? 0.0 : limit_ / std::max(seconds_.mean(), Shortest);
--- a/lib/Decisions/RetryBudget.cpp
+++ b/lib/Decisions/RetryBudget.cpp
@@ -22,7 +22,7 @@
 
 RetryBudget::RetryBudget(double ratio) : ratio_(ratio), tokens_(MostSavedRetries) {}
 
-void RetryBudget::onFirstTry(Instant /*now*/)
+void RetryBudget::onFirstAttempt(Instant /*now*/)
 {
     tokens_ = std::min(tokens_ + ratio_, MostSavedRetries);
 }
--- a/lib/Edge/Edge.cpp
+++ b/lib/Edge/Edge.cpp
@@ -75,8 +75,8 @@
 std::vector<WorkspaceBudget> budgetsOf(const ServingConfig &config)
 {
     std::vector<WorkspaceBudget> budgets;
-    for (const WorkspaceTerms &workspace : config.workspaces) {
-        if (workspace.prepaid) {
+    for (const WorkspaceSpec &workspace : config.workspaces) {
+        if (workspace.isPrepaid) {
             budgets.push_back({workspace.name, workspace.prepaidTokens});
         }
     }
@@ -356,9 +356,9 @@
     for (const std::shared_ptr<CallerConnection> &caller : callers) {
         cut_ += caller->serving() ? 1 : 0;
         if (now < closeAt_) {
-            caller->cutOff();
+            caller->stop();
         } else {
-            caller->shutDown();
+            caller->forceClose();
         }
     }
 }
@@ -408,7 +408,7 @@
     });
     checkStop();
     endpoints_.tick(now);
-    pool_.sweep(now);
+    pool_.closeExpired(now);
 }
 
 void Edge::noteLoopLag(Instant now)
--- a/lib/Edge/EdgeSettings.cpp
+++ b/lib/Edge/EdgeSettings.cpp
@@ -21,7 +21,7 @@
     edge.linkBytesPerSecond =
             static_cast<uint64_t>(settings.at("link_mbps").get<double>() * BytesPerMegabit);
     edge.retries.ratio = settings.at("retry_ratio").get<double>();
-    edge.retries.slack = settings.at("retry_slack").get<double>();
+    edge.retries.baseRetries = settings.at("retry_slack").get<double>();
     edge.retries.window = millisOf(settings, "retry_window_ms");
     edge.tokens.horizon = millisOf(settings, "token_horizon_ms");
     return edge;
--- a/lib/Edge/EndpointDirectory.cpp
+++ b/lib/Edge/EndpointDirectory.cpp
@@ -11,10 +11,10 @@
 namespace {
 
 /// Decisions by own sends alone: endpoints' reports are priced, late, and tell no more.
-EndpointChoiceSettings choiceSettings()
+EndpointSelectorSettings choiceSettings()
 {
-    EndpointChoiceSettings settings;
-    settings.freeShare = 0.6;
+    EndpointSelectorSettings settings;
+    settings.boundExemptShare = 0.6;
     settings.prefixHomes = 2;
     settings.prefillBacklogLimit = std::chrono::milliseconds(400);
     return settings;
@@ -60,7 +60,7 @@
     return hash;
 }
 
-EndpointDirectory::EndpointDirectory(const DomainId &self, RetryAllotmentSettings retries,
+EndpointDirectory::EndpointDirectory(const DomainId &self, DistributedRetryBudgetSettings retries,
                                      EventLog &log)
     : log_(log), choice_(self, choiceSettings()), retries_(retries)
 {}
@@ -195,8 +195,8 @@
 
 void EndpointDirectory::setProcesses(uint32_t count)
 {
-    choice_.setRouters(count);
-    retries_.setProcesses(count);
+    choice_.setRouterCount(count);
+    retries_.setProcessCount(count);
 }
 
 std::size_t EndpointDirectory::usable() const
@@ -206,8 +206,9 @@
                           [](const auto &entry) { return !entry.second.entry.draining; }));
 }
 
-Placing EndpointDirectory::place(const WorkItem &item, const std::vector<PromptPart> &prompt,
-                                 const std::vector<EndpointId> &tried, Instant now)
+PlacementResult EndpointDirectory::place(const WorkItem &item,
+                                         const std::vector<PromptPart> &prompt,
+                                         const std::vector<EndpointId> &tried, Instant now)
 {
     std::vector<EndpointId> left = tried;
     for (const auto &[id, listed] : entries_) {
@@ -217,18 +218,18 @@
     }
     WorkItem work = item;
     work.prefixHash = sharedPromptHash(prompt);
-    work.sharedTokens = sharedPromptTokens(prompt);
-    ChoiceOutcome outcome = choice_.choose(work, left, now);
+    work.cacheablePrefixTokens = sharedPromptTokens(prompt);
+    SelectionOutcome outcome = choice_.select(work, left, now);
     if (std::holds_alternative<Verdict>(outcome) && left.size() > tried.size()) {
         // All others are out of reach or out of use: one that was out of reach a moment
         // ago is better than none.
-        outcome = choice_.choose(work, tried, now);
+        outcome = choice_.select(work, tried, now);
     }
     if (auto *verdict = std::get_if<Verdict>(&outcome)) {
         return std::move(*verdict);
     }
-    const Chosen &chosen = std::get<Chosen>(outcome);
-    return Placed{chosen.endpoint, entries_.at(chosen.endpoint).address, chosen.why};
+    const SelectedEndpoint &chosen = std::get<SelectedEndpoint>(outcome);
+    return PlacementTarget{chosen.endpoint, entries_.at(chosen.endpoint).address, chosen.reason};
 }
 
 void EndpointDirectory::onSent(const EndpointId &endpoint, const WorkItem &item, Instant now)
@@ -242,12 +243,12 @@
     choice_.onFirstToken(endpoint, request, now);
 }
 
-void EndpointDirectory::onEnd(const TryResult &result, Instant now)
+void EndpointDirectory::onAttemptEnd(const AttemptResult &result, Instant now)
 {
     choice_.onEnd(result, now);
 }
 
-void EndpointDirectory::onMissing(const EndpointId &endpoint, Instant now)
+void EndpointDirectory::onStaleEndpoint(const EndpointId &endpoint, Instant now)
 {
     const auto found = entries_.find(endpoint);
     if (found == entries_.end()) {
@@ -257,9 +258,9 @@
     log_.write(Event("endpoint.unreachable").with("endpoint", endpoint));
 }
 
-bool EndpointDirectory::mayRepeat(const ServiceId &service, Instant now)
+bool EndpointDirectory::mayRetry(const ServiceId &service, Instant now)
 {
-    return retries_.mayRepeat(service, now);
+    return retries_.mayRetry(service, now);
 }
 
 void EndpointDirectory::onRequest(const ServiceId &service, Instant now)
--- a/lib/Edge/LedgerRows.cpp
+++ b/lib/Edge/LedgerRows.cpp
@@ -87,7 +87,7 @@
 StoreRow encodeBudget(const AllotmentRow &row)
 {
     return {fmt::format("{}{}/{}", BudgetPrefix, row.holder.text(), row.workspace.text()),
-            fmt::format("{} {} {}", row.allotment.tokens, row.allotment.usedAtMost,
+            fmt::format("{} {} {}", row.allotment.tokens, row.allotment.maxUsed,
                         row.allotment.usePerSecond),
             0};
 }
@@ -99,10 +99,10 @@
     AllotmentRow parsed;
     std::string_view numbers = row.value;
     Allotment &allotment = parsed.allotment;
-    bool good = takeNumber(numbers, allotment.tokens) && takeNumber(numbers, allotment.usedAtMost);
+    bool good = takeNumber(numbers, allotment.tokens) && takeNumber(numbers, allotment.maxUsed);
     if (good && numbers.empty()) {
         // Of an earlier build, whose holder kept to no pace: what it used can't be told.
-        allotment.usedAtMost = allotment.tokens;
+        allotment.maxUsed = allotment.tokens;
     } else {
         good = good && takeNumber(numbers, allotment.usePerSecond) && numbers.empty();
     }
--- a/lib/Edge/PeerLink.cpp
+++ b/lib/Edge/PeerLink.cpp
@@ -56,7 +56,7 @@
                           [this](const Peer &peer) { return peer.domain == domain_; });
 }
 
-std::vector<udp::endpoint> PeerLink::addressees(const TokenAsk &ask)
+std::vector<udp::endpoint> PeerLink::addressees(const TokenRequest &ask)
 {
     std::vector<udp::endpoint> chosen;
     const auto homes = homes_.find(ask.workspace);
@@ -119,11 +119,11 @@
     }
 }
 
-void PeerLink::ask(const TokenAsk &ask)
+void PeerLink::ask(const TokenRequest &ask)
 {
     const nlohmann::json message = {
             {"kind", "ask"},     {"from", self_.text()}, {"workspace", ask.workspace.text()},
-            {"need", ask.need},  {"usable", ask.usable}, {"per_second", ask.perSecond},
+            {"need", ask.need},  {"usable", ask.usable}, {"per_second", ask.demandPerSecond},
             {"round", ask.round}};
     const std::string text = message.dump();
     for (const udp::endpoint &to : addressees(ask)) {
@@ -133,11 +133,11 @@
 
 void PeerLink::onAsk(const nlohmann::json &message)
 {
-    TokenAsk ask;
+    TokenRequest ask;
     ask.workspace = WorkspaceId(message.at("workspace").get<std::string>());
     ask.need = message.at("need").get<uint64_t>();
     ask.usable = message.at("usable").get<uint64_t>();
-    ask.perSecond = message.at("per_second").get<uint64_t>();
+    ask.demandPerSecond = message.at("per_second").get<uint64_t>();
     ask.round = message.value("round", 0U);
     const auto from = message.at("from").get<std::string>();
     const uint64_t tokens = handlers_.onAsk(ask);
--- a/lib/Edge/Predecessor.cpp
+++ b/lib/Edge/Predecessor.cpp
@@ -62,7 +62,7 @@
 
 std::optional<Millis> Predecessor::bound() const
 {
-    std::vector<WitnessedSpan> spans;
+    std::vector<PeerClockReadings> spans;
     for (const auto &[address, asked] : asked_) {
         if (asked.answer) {
             spans.push_back({asked.before.process, Incarnation(processMark(asked.answer->process)),
--- a/lib/Edge/TokenService.cpp
+++ b/lib/Edge/TokenService.cpp
@@ -60,11 +60,13 @@
     : store_(store), settings_(std::move(settings)), log_(log), metrics_(metrics),
       holder_(settings_.incarnation, settings_.holder),
       peers_(io, settings_.listenPeers, settings_.incarnation, settings_.domain, log,
-             {[this](const TokenAsk &ask) { return give(ask, std::chrono::steady_clock::now()); },
+             {[this](const TokenRequest &ask) {
+                  return give(ask, std::chrono::steady_clock::now());
+              },
               [this](const WorkspaceId &workspace) { return held(workspace); },
               [this](const WorkspaceId &workspace, uint64_t tokens) {
                   const Instant now = std::chrono::steady_clock::now();
-                  holder_.take(workspace, tokens, now);
+                  holder_.transferIn(workspace, tokens, now);
                   serveWaiting(now);
               },
               [this](const ClockAnswer &answer) {
@@ -73,7 +75,7 @@
       follower_(io, store, followerSettings(settings_.topic),
                 {[this](const std::vector<StoreRow> &rows, bool) { onRows(rows); },
                  [this](uint64_t next) {
-                     if (holder_.onPosition(next)) {
+                     if (holder_.onReadUpTo(next)) {
                          acknowledged_ = true;
                          serveWaiting(std::chrono::steady_clock::now());
                      }
@@ -190,7 +192,7 @@
             batch_ && row.key == batch_->rows.back().key && row.value == batch_->rows.back().value;
     if (isLast) {
         acknowledged_ = true;
-        holder_.onWritten();
+        holder_.onBatchWritten();
     }
 }
 
@@ -259,7 +261,7 @@
                        .with("silent_ms", bound ? bound->count() : -1)
                        .with("asked", predecessor_->asked())
                        .with("answered", predecessor_->answered())
-                       .with("sealed", elapsed && *elapsed < settings_.holder.silence)
+                       .with("sealed", elapsed && *elapsed < settings_.holder.batchValidity)
                        .essential());
     reportGivenUp(predecessor_->process(), elapsed);
     predecessor_.reset();
@@ -269,7 +271,7 @@
 {
     std::string_view why = "end_not_dated";
     if (elapsed) {
-        why = *elapsed < settings_.holder.silence ? "sealed" : "silent_too_long";
+        why = *elapsed < settings_.holder.batchValidity ? "sealed" : "silent_too_long";
     }
     std::map<WorkspaceId, uint64_t> kept;
     for (const AllotmentRow &row : seals_) {
@@ -342,7 +344,7 @@
         }
     }
     const auto count = static_cast<uint32_t>(peers.size() + 1);
-    holder_.setHolders(count);
+    holder_.setHolderCount(count);
     // Every process's batches wake every reader: the reads a second of the fleet would grow
     // with the square of its size. Own batches are read back without the pause.
     follower_.setPace(std::max<Interval>(ReadPace, ReadPacePerProcess * count));
@@ -458,7 +460,7 @@
                    {{"outcome", std::string(storeOutcomeName(answer.outcome))}});
     if (answer.outcome == StoreOutcome::Ok) {
         acknowledged_ = true;
-        holder_.onWritten();
+        holder_.onBatchWritten();
         if (holder_.batchInFlight()) {
             follower_.hurry();
         }
@@ -471,7 +473,7 @@
         // The batch is in the store already, or the store counts from another number.
         if (*answer.expectedSeq == batch_->seq + 1) {
             acknowledged_ = true;
-            holder_.onWritten();
+            holder_.onBatchWritten();
             return;
         }
         batch_->seq = *answer.expectedSeq;
@@ -481,8 +483,9 @@
     appendAgainAt_ = now + (rejected ? AppendAgainRejected : AppendAgain);
 }
 
-TokenTicket TokenService::reserve(const WorkspaceId &workspace, uint64_t tokens, Instant deadline,
-                                  std::function<void(std::optional<Verdict>)> handler)
+TokenRequestId TokenService::reserve(const WorkspaceId &workspace, uint64_t tokens,
+                                     Instant deadline,
+                                     std::function<void(std::optional<Verdict>)> handler)
 {
     const Instant now = std::chrono::steady_clock::now();
     if (holder_.reserve(workspace, tokens, now)) {
@@ -494,7 +497,7 @@
     const auto known = shortages_.find(workspace);
     const bool isKnown = known != shortages_.end() && now < known->second.until
                          && tokens >= known->second.tokens
-                         && holder_.state(workspace, tokens) != BudgetState::Covered;
+                         && holder_.budgetState(workspace, tokens) != BudgetState::Available;
     if (isKnown) {
         // The failed reservation noted this request as waiting.
         updateShortOf(workspace);
@@ -502,7 +505,7 @@
         refuse(shortage(waiting, now));
         return 0;
     }
-    const TokenTicket ticket = waiting.ticket;
+    const TokenRequestId ticket = waiting.ticket;
     waiting_.push_back(std::move(waiting));
     updateShortOf(workspace);
     write();
@@ -510,7 +513,7 @@
     return ticket;
 }
 
-void TokenService::cancel(TokenTicket ticket)
+void TokenService::cancel(TokenRequestId ticket)
 {
     const auto found =
             std::find_if(waiting_.begin(), waiting_.end(),
@@ -555,7 +558,7 @@
     for (const Waiting &waiting : waiting_) {
         tokens += waiting.workspace == workspace ? waiting.tokens : 0;
     }
-    holder_.setShortOf(workspace, tokens);
+    holder_.setRequiredTokens(workspace, tokens);
 }
 
 void TokenService::expireWaiting(Instant now)
@@ -577,7 +580,7 @@
 
 Verdict TokenService::shortage(const Waiting &waiting, Instant now) const
 {
-    const BudgetState state = holder_.state(waiting.workspace, waiting.tokens);
+    const BudgetState state = holder_.budgetState(waiting.workspace, waiting.tokens);
     const std::string detail =
             fmt::format("{} tokens wanted, {} at hand, {} given to nobody", waiting.tokens,
                         holder_.usable(waiting.workspace), holder_.unallotted(waiting.workspace));
@@ -590,7 +593,7 @@
     const std::optional<uint64_t> elsewhere = peers_.heldElsewhere(waiting.workspace, now - Fresh);
     const HeldTokens here = held(waiting.workspace);
     const bool spent =
-            state == BudgetState::Spent && elsewhere && !here.settling
+            state == BudgetState::Exhausted && elsewhere && !here.settling
             && *elsewhere + here.usable + here.reserved + holder_.unallotted(waiting.workspace)
                        < waiting.tokens;
     if (spent) {
@@ -605,9 +608,9 @@
     return {holder_.usable(workspace), holder_.reserved(workspace), isSettling};
 }
 
-uint64_t TokenService::give(const TokenAsk &ask, Instant now)
+uint64_t TokenService::give(const TokenRequest &ask, Instant now)
 {
-    const uint64_t tokens = holder_.give(ask, now);
+    const uint64_t tokens = holder_.transferOut(ask, now);
     if (tokens < ask.need) {
         write(); // claims the missing tokens before the peer asks again, if possible
     }
@@ -616,7 +619,7 @@
 
 void TokenService::askPeers(Instant now)
 {
-    for (const TokenAsk &ask : holder_.asks(now)) {
+    for (const TokenRequest &ask : holder_.peerRequests(now)) {
         peers_.ask(ask);
     }
 }
--- a/lib/Keeper/KeeperCore.cpp
+++ b/lib/Keeper/KeeperCore.cpp
@@ -157,7 +157,7 @@
     if (record.has_checkpoint() && record.checkpoint().has_ledger()) {
         noteCheckpoint(shard.place, record.checkpoint().ledger().offset(), now);
     }
-    if (record.writer() == self_.text() && result.outcome != FoldOutcome::Doubled) {
+    if (record.writer() == self_.text() && result.outcome != FoldOutcome::Duplicate) {
         noteRecord(record, result, offset);
     }
 }
@@ -169,7 +169,7 @@
         events_.push_back(Event("record.refused")
                                   .with("offset", offset)
                                   .with("sequence", record.sequence())
-                                  .with("why", result.why));
+                                  .with("why", result.reason));
         return;
     }
     switch (record.body_case()) {
@@ -258,7 +258,7 @@
 {
     const uint64_t before = config_.version();
     const wire::ConfigState old = config_.state();
-    const bool taken = config_.takeNewer(config);
+    const bool taken = config_.adoptIfNewer(config);
     configFromPeer_ = configFromPeer_ || taken;
     if (taken) {
         events_.push_back(Event("config.from_peer").with("version", config_.version()));
--- a/lib/Keeper/KeeperCorePeers.cpp
+++ b/lib/Keeper/KeeperCorePeers.cpp
@@ -18,7 +18,7 @@
     for (GrantAction &action : holder.takeActions()) {
         if (auto *append = std::get_if<AppendAction>(&action)) {
             push(shard.queue, std::move(append->record), now);
-        } else if (auto *ask = std::get_if<AskWindowAction>(&action)) {
+        } else if (auto *ask = std::get_if<RequestWindowAction>(&action)) {
             windowAsks_.push_back(std::move(*ask));
             addWork(WorkKind::AskWindow);
         }
@@ -42,17 +42,17 @@
     pumpWitness(shard, now);
 }
 
-std::optional<AskWindowAction> KeeperCore::takeWindowAsk()
+std::optional<RequestWindowAction> KeeperCore::takeWindowAsk()
 {
     if (windowAsks_.empty()) {
         return std::nullopt;
     }
-    AskWindowAction next = std::move(windowAsks_.front());
+    RequestWindowAction next = std::move(windowAsks_.front());
     windowAsks_.pop_front();
     return next;
 }
 
-void KeeperCore::onWindow(const AskWindowAction &asked, uint64_t signedTotal, Instant now)
+void KeeperCore::onWindow(const RequestWindowAction &asked, uint64_t signedTotal, Instant now)
 {
     Shard &shard = shardOf(asked.workspace);
     GrantHolder &holder = holderOf(asked.workspace);
@@ -61,7 +61,7 @@
     ++progress_;
 }
 
-void KeeperCore::onWindowRefused(const AskWindowAction &asked, bool final, Instant now)
+void KeeperCore::onWindowRefused(const RequestWindowAction &asked, bool final, Instant now)
 {
     Shard &shard = shardOf(asked.workspace);
     GrantHolder &holder = holderOf(asked.workspace);
@@ -248,7 +248,7 @@
         state.set_total_tokens(budget->total);
         state.set_allocated_tokens(budget->allocated);
         state.set_config_version(budget->configVersion);
-        state.set_unmet_tokens(budget->unmet);
+        state.set_unmet_tokens(budget->unmetTokens);
         state.set_billed_tokens(budget->billed);
     }
 }
--- a/lib/Keeper/KeeperCoreRequests.cpp
+++ b/lib/Keeper/KeeperCoreRequests.cpp
@@ -51,7 +51,7 @@
     if (inForceVersion_ == 0) {
         return refusal(Reason::NotReady, "no configuration yet", now + ComeBackSoon, now);
     }
-    if (config_.workspace(WorkspaceId(request.workspace())) == nullptr) {
+    if (config_.findWorkspace(WorkspaceId(request.workspace())) == nullptr) {
         return refusal(Reason::NotReady, "the workspace is not in the configuration that is known",
                        now + ComeBackSoon, now);
     }
@@ -129,7 +129,7 @@
     if (const auto *draws = std::get_if<ReservationDraws>(&outcome)) {
         return openReservation(request, key, *draws);
     }
-    if (const auto *later = std::get_if<ReserveLater>(&outcome)) {
+    if (const auto *later = std::get_if<ReservePending>(&outcome)) {
         return AskAgain{later->until};
     }
     if (budgetOnItsWay(key.workspace, tokens, now)) {
--- a/lib/Keeper/KeeperCoreRuns.cpp
+++ b/lib/Keeper/KeeperCoreRuns.cpp
@@ -97,7 +97,7 @@
     const WorkspaceId workspace(claim.workspace());
     Shard &shard = shardOf(workspace);
     const LedgerRun *run = shard.fold.run(workspace, RunKey(claim.key()));
-    if (run != nullptr && !run->freed()) {
+    if (run != nullptr && !run->keyAvailable()) {
         return standingRun(claim, *run);
     }
     if (draining()) {
--- a/lib/Keeper/KeeperSettings.cpp
+++ b/lib/Keeper/KeeperSettings.cpp
@@ -12,7 +12,7 @@
     grants.logSilentAfter = millisOf(settings, "window_open_after_ms");
     grants.openFullAfter = millisOf(settings, "window_open_full_after_ms");
     grants.minimumGrant = settings.at("minimum_grant_tokens").get<uint64_t>();
-    grants.reservePatience = millisOf(settings, "reserve_wait_ms");
+    grants.maxReserveWait = millisOf(settings, "reserve_wait_ms");
     grants.shareOfRemainder = settings.at("grant_share_of_remainder").get<double>();
     return grants;
 }
--- a/lib/Keeper/Peers.cpp
+++ b/lib/Keeper/Peers.cpp
@@ -76,10 +76,10 @@
 {
     std::optional<wire::MemberEntry> witness;
     uint64_t seen = 0;
-    const std::optional<AskWindowAction> ask =
+    const std::optional<RequestWindowAction> ask =
             keeper_.run([&](KeeperCore &core, Instant, WallTime) {
                 seen = core.work(WorkKind::AskWindow);
-                std::optional<AskWindowAction> next = core.takeWindowAsk();
+                std::optional<RequestWindowAction> next = core.takeWindowAsk();
                 const wire::MemberEntry *known = next ? core.view().member(next->witness) : nullptr;
                 if (known != nullptr) {
                     witness = *known;
@@ -101,7 +101,7 @@
     request.set_holder(keeper_.log().identity().incarnation.text());
     request.set_received_tokens(ask->receivedTokens);
     request.set_want_tokens(ask->wantTokens);
-    request.set_given_up_tokens(ask->givenUpTokens);
+    request.set_given_up_tokens(ask->returnedTokens);
     const auto reply = peers_.signWindow(*witness, request, now + CallTimeout);
     if (!reply) {
         return Interval::zero();
--- a/lib/Ledger/AllotmentTable.cpp
+++ b/lib/Ledger/AllotmentTable.cpp
@@ -10,11 +10,11 @@
     // Rounded up, and bounded before it is a whole number again.
     const double seconds = std::chrono::duration<double>(elapsed).count();
     const double more = std::ceil(static_cast<double>(usePerSecond) * seconds);
-    const uint64_t left = tokens - std::min(tokens, usedAtMost);
+    const uint64_t left = tokens - std::min(tokens, maxUsed);
     if (more >= static_cast<double>(left)) {
-        return std::max(tokens, usedAtMost);
+        return std::max(tokens, maxUsed);
     }
-    return usedAtMost + static_cast<uint64_t>(more);
+    return maxUsed + static_cast<uint64_t>(more);
 }
 
 void AllotmentTable::set(const AllotmentRow &row, uint64_t offset)
@@ -27,7 +27,7 @@
     }
     const Allotment &before = known.allotment;
     division.total += row.allotment.tokens - before.tokens;
-    division.used += row.allotment.usedAtMost - before.usedAtMost;
+    division.used += row.allotment.maxUsed - before.maxUsed;
     known = {row.allotment, offset};
 }
 
--- a/lib/Ledger/Charge.cpp
+++ b/lib/Ledger/Charge.cpp
@@ -18,11 +18,15 @@
 constexpr uint64_t OverrunEvents = 8;
 
 constexpr EndRule EndRules[] = {
-        {AttemptEnd::NotConnected, false, 0},      {AttemptEnd::NotExecuted, false, 0},
-        {AttemptEnd::Cut, true, OverrunEvents},    {AttemptEnd::Cancelled, true, OverrunEvents},
-        {AttemptEnd::Silent, true, OverrunEvents}, {AttemptEnd::TimedOut, true, OverrunEvents},
-        {AttemptEnd::AnswerRejected, true, 0},     {AttemptEnd::Failed, true, 0},
-        {AttemptEnd::Answered, true, 0},
+        {AttemptEnd::NotConnected, false, 0},
+        {AttemptEnd::NotExecuted, false, 0},
+        {AttemptEnd::ConnectionLost, true, OverrunEvents},
+        {AttemptEnd::Cancelled, true, OverrunEvents},
+        {AttemptEnd::Stalled, true, OverrunEvents},
+        {AttemptEnd::TimedOut, true, OverrunEvents},
+        {AttemptEnd::ResponseRejected, true, 0},
+        {AttemptEnd::Failed, true, 0},
+        {AttemptEnd::Completed, true, 0},
 };
 
 const EndRule &ruleOf(AttemptEnd end)
@@ -37,7 +41,7 @@
 
 } // namespace
 
-uint64_t charge(const RequestUse &use)
+uint64_t tokensToCharge(const RequestUsage &use)
 {
     bool mayHaveRun = false;
     uint64_t unreadEvents = 0;
@@ -49,11 +53,11 @@
     if (!mayHaveRun) {
         return 0;
     }
-    if (use.plainAnswerPassedOn) {
-        return use.promptTokens + use.mostOutputTokens;
+    if (use.nonStreamingResponseForwarded) {
+        return use.promptTokens + use.maxOutputTokens;
     }
-    const uint64_t events = use.eventsPassedOn + unreadEvents;
-    return use.promptTokens + std::min(use.mostOutputTokens, events * use.tokensPerEvent);
+    const uint64_t events = use.eventsForwarded + unreadEvents;
+    return use.promptTokens + std::min(use.maxOutputTokens, events * use.tokensPerEvent);
 }
 
 } // namespace sequoiagate
--- a/lib/Ledger/ElapsedBound.cpp
+++ b/lib/Ledger/ElapsedBound.cpp
@@ -4,11 +4,11 @@
 
 namespace sequoiagate {
 
-std::optional<Millis> elapsedBound(const std::vector<WitnessedSpan> &peers)
+std::optional<Millis> elapsedBound(const std::vector<PeerClockReadings> &peers)
 {
     std::optional<Millis> smallest;
-    for (const WitnessedSpan &peer : peers) {
-        const Millis span = peer.after - peer.before - peer.askedAfterStart;
+    for (const PeerClockReadings &peer : peers) {
+        const Millis span = peer.clockAfter - peer.clockBefore - peer.askedAfterStart;
         // A span below zero contradicts itself: whatever told it is wrong.
         if (peer.processBefore != peer.processAfter || span < Millis::zero()) {
             continue;
--- a/lib/Ledger/GrantAccount.cpp
+++ b/lib/Ledger/GrantAccount.cpp
@@ -64,8 +64,8 @@
     spent_ += spentTokens;
 }
 
-bool GrantAccount::takeWindow(const Incarnation &witness, uint64_t signedTotal,
-                              bool evenWhileChanging)
+bool GrantAccount::acceptWindow(const Incarnation &witness, uint64_t signedTotal,
+                                bool evenWhileChanging)
 {
     if (phase_ != Phase::Open || witness != witness_) {
         return false;
@@ -88,7 +88,7 @@
     return lessOrZero(cap_, std::max(base_, spent_ + reserved_));
 }
 
-void GrantAccount::giveUp(uint64_t tokens)
+void GrantAccount::relinquish(uint64_t tokens)
 {
     assert(tokens <= returnable() && "what is reserved can't be given up");
     // The cap falls before the return is appended: once the log has it, another holder
@@ -114,7 +114,7 @@
     phase_ = Phase::Closing;
 }
 
-void GrantAccount::readBack(const LedgerGrant *grant)
+void GrantAccount::updateFromLog(const LedgerGrant *grant)
 {
     if (phase_ == Phase::Claimed) {
         if (!grant) {
--- a/lib/Ledger/GrantHolder.cpp
+++ b/lib/Ledger/GrantHolder.cpp
@@ -58,7 +58,7 @@
     return sum;
 }
 
-uint64_t GrantHolder::leftTokens() const
+uint64_t GrantHolder::unreservedTokens() const
 {
     uint64_t sum = 0;
     for (const Held &held : grants_) {
@@ -92,7 +92,7 @@
         return Verdict{Execution::NotRun, Reason::Draining, "the keeper is stopping", now};
     }
     logReachable_ = logReachable;
-    if (waiting_.emplace(id, Waiting{tokens, now + settings_.reservePatience}).second) {
+    if (waiting_.emplace(id, Waiting{tokens, now + settings_.maxReserveWait}).second) {
         longRate_.add(tokens, now);
         shortRate_.add(tokens, now);
     }
@@ -133,7 +133,7 @@
     }
     const Instant until = waiting_.at(id).until;
     if (around.now < until && answerUnderWay(around)) {
-        return ReserveLater{until};
+        return ReservePending{until};
     }
     waiting_.erase(id);
     return refusal(tokens, around);
@@ -145,7 +145,7 @@
         const GrantAccount &account = held.account;
         const bool claimed = account.phase() == GrantAccount::Phase::Claimed
                              && around.now < account.claimedAt() + ClaimGivenUpAfter;
-        const bool fromLog = claimed || account.witnessChanging();
+        const bool fromLog = claimed || account.witnessChangePending();
         const bool fromWitness = held.ask.until != Never && around.now < held.ask.until;
         return (fromLog && around.logReachable) || fromWitness;
     });
@@ -168,7 +168,7 @@
 
 uint64_t GrantHolder::remainingTokens(const LedgerBudget &budget, Instant now) const
 {
-    return budget.remainder() + leftTokens() + claimsUnderWay(now);
+    return budget.remainder() + unreservedTokens() + claimsUnderWay(now);
 }
 
 Verdict GrantHolder::refusal(uint64_t tokens, const Surroundings &around) const
@@ -222,7 +222,7 @@
     }
     suspected_.erase(witness);
     held->ask = Ask{};
-    held->account.takeWindow(witness, signedTotal, !safeguards_.holderStopsWindowsFirst);
+    held->account.acceptWindow(witness, signedTotal, !safeguards_.holderStopsWindowsFirst);
 }
 
 void GrantHolder::onWindowRefused(const GrantId &grant, const Incarnation &witness, bool final,
@@ -245,7 +245,7 @@
         GrantAccount &account = held.account;
         const GrantAccount::Phase before = account.phase();
         const Incarnation witnessBefore = account.witness();
-        account.readBack(fold.grant(account.id()));
+        account.updateFromLog(fold.grant(account.id()));
         if (before == GrantAccount::Phase::Open && account.phase() == GrantAccount::Phase::Ended) {
             // Our witness took us for dead and won't sign for this incarnation again.
             avoided_.insert(account.witness());
@@ -308,7 +308,7 @@
 void GrantHolder::forgetWaiting(Instant now)
 {
     std::erase_if(waiting_, [this, now](const auto &entry) {
-        return entry.second.until + settings_.reservePatience < now;
+        return entry.second.until + settings_.maxReserveWait < now;
     });
 }
 
--- a/lib/Ledger/GrantUpkeep.cpp
+++ b/lib/Ledger/GrantUpkeep.cpp
@@ -51,13 +51,13 @@
             continue;
         }
         held.ask.until = now + settings_.askTimeout;
-        AskWindowAction ask;
+        RequestWindowAction ask;
         ask.witness = held.account.witness();
         ask.grant = held.account.id();
         ask.workspace = workspace_;
         ask.receivedTokens = held.account.received();
         ask.wantTokens = part;
-        ask.givenUpTokens = held.account.returned();
+        ask.returnedTokens = held.account.returned();
         actions_.emplace_back(std::move(ask));
     }
 }
@@ -78,7 +78,7 @@
                                 Instant now) const
 {
     const Interval horizon = witnessed ? settings_.grantHorizon : settings_.unwitnessedHorizon;
-    const uint64_t wanted = std::max(lessOrZero(longRate_.over(horizon, now), leftTokens()),
+    const uint64_t wanted = std::max(lessOrZero(longRate_.over(horizon, now), unreservedTokens()),
                                      settings_.minimumGrant);
     // A share of what is left, so that claims shrink towards the end and the last tokens
     // aren't all in the first claimer's hands; but never less than the need itself.
@@ -161,7 +161,7 @@
     const bool settled = preferred_ && around.now >= preferredFrom_;
     for (Held &held : grants_) {
         GrantAccount &account = held.account;
-        if (account.phase() != GrantAccount::Phase::Open || account.witnessChanging()
+        if (account.phase() != GrantAccount::Phase::Open || account.witnessChangePending()
             || account.unsignedTokens() + account.available() == 0) {
             continue;
         }
@@ -183,11 +183,11 @@
     const LedgerBudget *budget = around.fold.budget(workspace_);
     // While another holder goes short, only a need of our own justifies a claim: else
     // what was just returned for it would be claimed back.
-    if (!budget || budget->remainder() == 0 || budget->unmet > 0) {
+    if (!budget || budget->remainder() == 0 || budget->unmetTokens > 0) {
         return;
     }
     const Interval ahead = settings_.grantHorizon / ClaimAheadShare;
-    if (leftTokens() < longRate_.over(ahead, around.now)) {
+    if (unreservedTokens() < longRate_.over(ahead, around.now)) {
         claimFor(0, around);
     }
 }
@@ -200,12 +200,12 @@
     }
     const uint64_t keptWindows = WindowsKept * windowTokens(around.now);
     const uint64_t horizon = longRate_.over(settings_.grantHorizon, around.now);
-    const bool tooMuch = leftTokens() > IdleHorizons * horizon + settings_.minimumGrant;
+    const bool tooMuch = unreservedTokens() > IdleHorizons * horizon + settings_.minimumGrant;
     uint64_t idle = 0;
-    if (budget->unmet > 0) {
-        idle = lessOrZero(leftTokens(), keptWindows);
+    if (budget->unmetTokens > 0) {
+        idle = lessOrZero(unreservedTokens(), keptWindows);
     } else if (tooMuch) {
-        idle = leftTokens() - horizon - settings_.minimumGrant / 2;
+        idle = unreservedTokens() - horizon - settings_.minimumGrant / 2;
     }
     for (auto held = grants_.rbegin(); held != grants_.rend(); ++held) {
         if (around.now < held->returnAgainAt) {
@@ -238,7 +238,7 @@
     if (part == 0) {
         return;
     }
-    account.giveUp(part);
+    account.relinquish(part);
     wire::GrantReturn &giveBack = *append().mutable_grant_return();
     giveBack.set_grant(account.id().text());
     giveBack.set_tokens(part);
--- a/lib/Ledger/LedgerFold.cpp
+++ b/lib/Ledger/LedgerFold.cpp
@@ -119,7 +119,7 @@
     // way at a time, so the highest sequence seen is enough to know every copy.
     uint64_t &mark = writers_[Incarnation(record.writer())];
     if (safeguards_.dropDoubles && record.sequence() <= mark) {
-        return {FoldOutcome::Doubled, "folded before", 0};
+        return {FoldOutcome::Duplicate, "folded before", 0};
     }
     mark = std::max(mark, record.sequence());
     return applyBody(record, offset);
@@ -173,7 +173,7 @@
 FoldResult LedgerFold::refuseClaim(BudgetEntry &entry, const wire::GrantClaim &claim,
                                    std::string why)
 {
-    entry.budget.unmet = saturatingAdd(entry.budget.unmet, claim.tokens());
+    entry.budget.unmetTokens = saturatingAdd(entry.budget.unmetTokens, claim.tokens());
     if (entry.refused.size() == RefusedClaimsKept) {
         entry.refused.erase(entry.refused.begin());
     }
@@ -203,7 +203,7 @@
                                        entry.budget.remainder()));
     }
     entry.budget.allocated += claim.tokens();
-    entry.budget.unmet = 0;
+    entry.budget.unmetTokens = 0;
     LedgerGrant grant;
     grant.id = GrantId(claim.grant());
     grant.workspace = WorkspaceId(claim.workspace());
@@ -347,7 +347,7 @@
     // A claimer that says "not run" has promised never to send the call: the key is free
     // again. Without this a caller whose claim landed too late, and who does as it was
     // told and comes back under the same key, is told "not run" for ever.
-    if (!standing->second.freed()) {
+    if (!standing->second.keyAvailable()) {
         return refused("the key is claimed");
     }
     standing->second = std::move(run);
@@ -508,7 +508,7 @@
     state.set_total_tokens(entry.budget.total);
     state.set_allocated_tokens(entry.budget.allocated);
     state.set_config_version(entry.budget.configVersion);
-    state.set_unmet_tokens(entry.budget.unmet);
+    state.set_unmet_tokens(entry.budget.unmetTokens);
     state.set_billed_tokens(entry.budget.billed);
     // Ended grants in the order of their ends, since the oldest is forgotten first.
     for (const GrantId &id : entry.ended) {
@@ -565,7 +565,7 @@
     entry.budget.total = state.total_tokens();
     entry.budget.allocated = state.allocated_tokens();
     entry.budget.configVersion = state.config_version();
-    entry.budget.unmet = state.unmet_tokens();
+    entry.budget.unmetTokens = state.unmet_tokens();
     entry.budget.billed = state.billed_tokens();
     for (const wire::GrantState &grant : state.grants()) {
         addGrant(entry, grantFromState(grant));
--- a/lib/Ledger/TokenHolder.cpp
+++ b/lib/Ledger/TokenHolder.cpp
@@ -107,7 +107,7 @@
 {
     // One that is too old tells whoever finds it nothing, and bounds nothing.
     const Interval age = std::max(now - composedAt, Interval::zero());
-    return age < settings_.silence ? row.usedAfter(age) : UINT64_MAX;
+    return age < settings_.batchValidity ? row.usedAfter(age) : UINT64_MAX;
 }
 
 uint64_t TokenHolder::mayUse(const Account &account, Instant now) const
@@ -223,7 +223,7 @@
 {
     return std::any_of(accounts_.begin(), accounts_.end(), [](const auto &entry) {
         const Allotment &written = entry.second.written;
-        return written.usedAtMost < written.tokens;
+        return written.maxUsed < written.tokens;
     });
 }
 
@@ -247,13 +247,13 @@
     const uint64_t already = used(account);
     // Without the store more was used than the last row says. A batch that didn't correct
     // it would vouch for a row that is wrong.
-    if (already > written.usedAtMost) {
+    if (already > written.maxUsed) {
         return true;
     }
     const uint64_t window = windowOf(workspace, account, now);
-    const uint64_t left = written.usedAtMost - already;
+    const uint64_t left = written.maxUsed - already;
     const bool isShort = mayUse(account, now) < account.shortOf;
-    const bool canAllowMore = written.usedAtMost < account.owned;
+    const bool canAllowMore = written.maxUsed < account.owned;
     const bool low = left < scaled(window, settings_.rewriteBelow);
     const uint64_t usual = std::max(window, account.typical);
     const uint64_t pace = paceOf(workspace, account, now);
@@ -281,7 +281,7 @@
     }
 }
 
-void TokenHolder::setShortOf(const WorkspaceId &workspace, uint64_t tokens)
+void TokenHolder::setRequiredTokens(const WorkspaceId &workspace, uint64_t tokens)
 {
     if (Account *account = find(workspace)) {
         account->shortOf = tokens;
@@ -291,7 +291,7 @@
 
 void TokenHolder::noLongerShort(const WorkspaceId &workspace)
 {
-    setShortOf(workspace, 0);
+    setRequiredTokens(workspace, 0);
 }
 
 uint64_t TokenHolder::mostIdle(const WorkspaceId &workspace, const Account &account) const
@@ -420,14 +420,14 @@
     return rows;
 }
 
-void TokenHolder::onWritten()
+void TokenHolder::onBatchWritten()
 {
     if (inFlight_ && inFlight_->rows.empty()) {
         settleFlight();
     }
 }
 
-bool TokenHolder::onPosition(uint64_t next)
+bool TokenHolder::onReadUpTo(uint64_t next)
 {
     caughtUp_ = true;
     if (!inFlight_ || inFlight_->rows.empty()) {
@@ -474,7 +474,7 @@
 std::vector<AllotmentRow> TokenHolder::sealRows(const Incarnation &dead,
                                                 std::optional<Interval> elapsed) const
 {
-    const bool keptToItsRows = elapsed && *elapsed < settings_.silence;
+    const bool keptToItsRows = elapsed && *elapsed < settings_.batchValidity;
     std::vector<AllotmentRow> rows;
     for (AllotmentRow row : table_.rowsOf(dead)) {
         const Allotment &last = row.allotment;
@@ -489,9 +489,9 @@
     return rows;
 }
 
-std::vector<TokenAsk> TokenHolder::asks(Instant now)
+std::vector<TokenRequest> TokenHolder::peerRequests(Instant now)
 {
-    std::vector<TokenAsk> asks;
+    std::vector<TokenRequest> asks;
     for (auto &[workspace, account] : accounts_) {
         const bool isShort = mayUse(account, now) < account.shortOf;
         const uint64_t low = account.demand.over(settings_.demandMemory, now) / 2;
@@ -515,7 +515,7 @@
     return asks;
 }
 
-uint64_t TokenHolder::give(const TokenAsk &ask, Instant now)
+uint64_t TokenHolder::transferOut(const TokenRequest &ask, Instant now)
 {
     Account *account = find(ask.workspace);
     if (account == nullptr) {
@@ -531,7 +531,7 @@
     return gift;
 }
 
-uint64_t TokenHolder::giftOfHome(Account &account, const TokenAsk &ask, Instant now)
+uint64_t TokenHolder::giftOfHome(Account &account, const TokenRequest &ask, Instant now)
 {
     // What others ask for is demand here, also what can't be given now: the home holds for it.
     if (ask.round == 0) {
@@ -543,7 +543,7 @@
     return enough || ask.round > 0 ? std::min(account.usable, ask.need) : 0;
 }
 
-uint64_t TokenHolder::evenGift(const Account &account, const TokenAsk &ask, Instant now) const
+uint64_t TokenHolder::evenGift(const Account &account, const TokenRequest &ask, Instant now) const
 {
     if (account.shortOf > 0) {
         return 0;
@@ -557,16 +557,16 @@
     // So much that both last equally long at their own demand.
     const uint64_t perSecond = account.demand.over(std::chrono::seconds(1), now);
     const auto mine = static_cast<double>(perSecond);
-    const auto theirs = static_cast<double>(ask.perSecond);
+    const auto theirs = static_cast<double>(ask.demandPerSecond);
     const double both = std::max(mine + theirs, 1.0);
     const double even =
             (static_cast<double>(usable) * theirs - static_cast<double>(ask.usable) * mine) / both;
     // A peer that only runs low gets a second's demand: eight are asked, and what a
     // holder may move it may lose.
-    const uint64_t most = std::max(ask.need, ask.perSecond);
+    const uint64_t most = std::max(ask.need, ask.demandPerSecond);
     uint64_t gift = std::min(most, static_cast<uint64_t>(std::max(0.0, even)));
     // What runs low is evened out in few moves, not with every request.
-    if (ask.need == 0 && gift < std::min(usable, ask.perSecond) / LeastEvening) {
+    if (ask.need == 0 && gift < std::min(usable, ask.demandPerSecond) / LeastEvening) {
         gift = 0;
     }
     // A request that waits there goes before what may come here, but for the next one.
@@ -588,7 +588,7 @@
     return moved;
 }
 
-void TokenHolder::take(const WorkspaceId &workspace, uint64_t tokens, Instant now)
+void TokenHolder::transferIn(const WorkspaceId &workspace, uint64_t tokens, Instant now)
 {
     Account *account = find(workspace);
     if (account == nullptr) {
@@ -639,20 +639,20 @@
     return account == nullptr ? 0 : account->reserved;
 }
 
-BudgetState TokenHolder::state(const WorkspaceId &workspace, uint64_t need) const
+BudgetState TokenHolder::budgetState(const WorkspaceId &workspace, uint64_t need) const
 {
     const Account *account = find(workspace);
     if (account == nullptr || account->usable >= need) {
-        return BudgetState::Covered;
+        return BudgetState::Available;
     }
     if (!storeReachable_) {
         return BudgetState::Unreachable;
     }
     if (need > account->prepaid) {
-        return BudgetState::Spent;
+        return BudgetState::Exhausted;
     }
-    return unallotted(workspace) + account->usable >= need ? BudgetState::Covered
-                                                           : BudgetState::Spent;
+    return unallotted(workspace) + account->usable >= need ? BudgetState::Available
+                                                           : BudgetState::Exhausted;
 }
 
 std::vector<WorkspaceId> TokenHolder::workspaces() const
--- a/lib/Operate/ConfigCommands.cpp
+++ b/lib/Operate/ConfigCommands.cpp
@@ -89,7 +89,7 @@
 
 const wire::WorkspaceConfig &requireWorkspace(const ConfigView &view, const std::string &name)
 {
-    const wire::WorkspaceConfig *workspace = view.fold.workspace(WorkspaceId(name));
+    const wire::WorkspaceConfig *workspace = view.fold.findWorkspace(WorkspaceId(name));
     if (workspace == nullptr) {
         throw CommandError(ExitBadInput, fmt::format("there is no workspace '{}'", name));
     }
--- a/lib/Operate/LedgerCommands.cpp
+++ b/lib/Operate/LedgerCommands.cpp
@@ -51,16 +51,11 @@
                           {"witness", grant->witness.text()}});
     }
     std::sort(grants.begin(), grants.end());
-    return {{"workspace", workspace.workspace()},
-            {"name", workspace.name()},
-            {"prepaid_tokens", prepaidTotal(workspace)},
-            {"funded_tokens", budget.total},
-            {"funded_by_version", budget.configVersion},
-            {"allocated_tokens", budget.allocated},
-            {"remaining_tokens", budget.remainder()},
-            {"billed_tokens", budget.billed},
-            {"unmet_tokens", budget.unmet},
-            {"grants", grants}};
+    return {{"workspace", workspace.workspace()},        {"name", workspace.name()},
+            {"prepaid_tokens", prepaidTotal(workspace)}, {"funded_tokens", budget.total},
+            {"funded_by_version", budget.configVersion}, {"allocated_tokens", budget.allocated},
+            {"remaining_tokens", budget.remainder()},    {"billed_tokens", budget.billed},
+            {"unmet_tokens", budget.unmetTokens},        {"grants", grants}};
 }
 
 std::string budgetText(const Json &budget)
--- a/lib/Operate/LogReader.cpp
+++ b/lib/Operate/LogReader.cpp
@@ -83,7 +83,7 @@
         for (const StreamRecord &read : contents.records) {
             const wire::ConfigState &state = read.record.checkpoint().config();
             if (read.record.checkpoint().has_config() && state.offset() >= contents.oldest) {
-                view.fold.takeNewer(state);
+                view.fold.adoptIfNewer(state);
                 break;
             }
         }
--- a/lib/Operate/Publisher.cpp
+++ b/lib/Operate/Publisher.cpp
@@ -89,7 +89,7 @@
             return winnerOver(base, view.fold.state());
         }
         if (view.found) {
-            return RefusedRecord{view.found->result.why};
+            return RefusedRecord{view.found->result.reason};
         }
         return std::nullopt;
     };
@@ -107,7 +107,7 @@
         if (view.found->result.outcome == FoldOutcome::Accepted) {
             return Published{};
         }
-        return RefusedRecord{view.found->result.why};
+        return RefusedRecord{view.found->result.reason};
     };
     return send(stream, record, find);
 }
--- a/lib/Operate/SheetCommands.cpp
+++ b/lib/Operate/SheetCommands.cpp
@@ -19,12 +19,12 @@
     return std::string(std::istreambuf_iterator<char>(file), {});
 }
 
-CommandResult faultsResult(const std::string &path, const SheetFaults &faults)
+CommandResult faultsResult(const std::string &path, const SheetErrors &faults)
 {
     CommandResult result;
     result.exitCode = ExitBadInput;
     result.json = {{"file", path}, {"faults", nlohmann::json::array()}};
-    for (const SheetFault &fault : faults) {
+    for (const SheetError &fault : faults) {
         result.text += line(fmt::format("{}: {}", path, describe(fault)));
         result.json["faults"].push_back(
                 {{"line", fault.line}, {"column", fault.column}, {"reason", fault.reason}});
@@ -38,8 +38,8 @@
 CommandResult checkSheet(const CommandPeers & /*peers*/, const CommandArguments &arguments)
 {
     const std::string &path = arguments.words.at(0);
-    const SheetOutcome outcome = parseSheet(readFile(path));
-    if (const SheetFaults *faults = std::get_if<SheetFaults>(&outcome)) {
+    const ParseSheetResult outcome = parseSheet(readFile(path));
+    if (const SheetErrors *faults = std::get_if<SheetErrors>(&outcome)) {
         return faultsResult(path, *faults);
     }
     const std::size_t count = std::get<Sheet>(outcome).workspaces.size();
@@ -52,14 +52,14 @@
 CommandResult applySheet(const CommandPeers &peers, const CommandArguments &arguments)
 {
     const std::string &path = arguments.words.at(0);
-    const SheetOutcome outcome = parseSheet(readFile(path));
-    if (const SheetFaults *faults = std::get_if<SheetFaults>(&outcome)) {
+    const ParseSheetResult outcome = parseSheet(readFile(path));
+    if (const SheetErrors *faults = std::get_if<SheetErrors>(&outcome)) {
         return faultsResult(path, *faults);
     }
     const ConfigView view = readConfig(peers.log);
-    SheetChangeOutcome change = changeFor(std::get<Sheet>(outcome), view.fold.state(),
-                                          arguments.author, arguments.note);
-    if (const SheetFaults *faults = std::get_if<SheetFaults>(&change)) {
+    SheetChangeResult change = makeConfigChange(std::get<Sheet>(outcome), view.fold.state(),
+                                                arguments.author, arguments.note);
+    if (const SheetErrors *faults = std::get_if<SheetErrors>(&change)) {
         return faultsResult(path, *faults);
     }
     auto &wanted = std::get<wire::ConfigChange>(change);
--- a/lib/Proxy/CallerClose.cpp
+++ b/lib/Proxy/CallerCloseReason.cpp
@@ -1,4 +1,4 @@
-#include "sequoiagate/Proxy/CallerClose.h"
+#include "sequoiagate/Proxy/CallerCloseReason.h"
 
 namespace sequoiagate {
 
--- a/lib/Proxy/CallerConnection.cpp
+++ b/lib/Proxy/CallerConnection.cpp
@@ -41,7 +41,7 @@
 RequestReader makeReader(const ProxyContext &context)
 {
     const CallerLimits limits = limitsOf(context);
-    return RequestReader({limits.headerBytes, limits.bodyBytes});
+    return RequestReader({limits.maxHeaderBytes, limits.maxBodyBytes});
 }
 
 struct FaultStatus
@@ -178,13 +178,13 @@
     keepAlive_ = request.head.keepAlive;
     context_.link.onReceived(request.body.size() + HeadBytes, std::chrono::steady_clock::now());
     // Kept here as well: an exchange that is refused ends inside start().
-    AnswerSink &sink = *this;
+    ResponseSink &sink = *this;
     const auto exchange = std::make_shared<Exchange>(context_, std::move(request), sink);
     exchange_ = exchange;
     try {
         exchange->start();
     } catch (const std::exception &) {
-        cutOff();
+        stop();
         throw;
     }
 }
@@ -319,7 +319,7 @@
     }
 }
 
-void CallerConnection::cutOff()
+void CallerConnection::stop()
 {
     if (exchange_) {
         const std::shared_ptr<Exchange> exchange = exchange_;
@@ -331,7 +331,7 @@
     }
 }
 
-void CallerConnection::shutDown()
+void CallerConnection::forceClose()
 {
     close(CallerClose::StopForced);
 }
--- a/lib/Proxy/ConnectionPool.cpp
+++ b/lib/Proxy/ConnectionPool.cpp
@@ -76,7 +76,7 @@
     idle_.erase(found);
 }
 
-void ConnectionPool::sweep(Instant now)
+void ConnectionPool::closeExpired(Instant now)
 {
     for (auto &[address, idle] : idle_) {
         std::erase_if(idle, [this, now](const std::shared_ptr<HttpConnection> &connection) {
--- a/lib/Proxy/Exchange.cpp
+++ b/lib/Proxy/Exchange.cpp
@@ -43,7 +43,7 @@
 
 } // namespace
 
-Exchange::Exchange(ProxyContext &context, CallerRequest request, AnswerSink &sink)
+Exchange::Exchange(ProxyContext &context, CallerRequest request, ResponseSink &sink)
     : context_(context), request_(std::move(request)), sink_(sink), position_(context.chart),
       deadlineTimer_(context.io), silenceTimer_(context.io)
 {}
@@ -67,7 +67,7 @@
     config_ = context_.config();
     // A caller whose stream broke off goes on behind what it has; sent from the start, its
     // stream would have pieces twice.
-    lastEvent_ = terms_.lastEvent;
+    lastEvent_ = terms_.lastEventId;
     decide();
 }
 
@@ -76,7 +76,7 @@
     if (!allowed()) {
         return;
     }
-    deadline_ = request_.receivedAt + std::min(route_->timeout, terms_.patience);
+    deadline_ = request_.receivedAt + std::min(route_->timeout, terms_.timeout);
     deadlineTimer_.expires_at(deadline_);
     deadlineTimer_.async_wait([self = shared_from_this()](const boost::system::error_code &error) {
         if (!error) {
@@ -99,15 +99,15 @@
         refuse({Execution::NotRun, Reason::BadRequest, "a request needs a host and an id", {}});
         return false;
     }
-    route_ = config_->route(*host, request_.head.target);
+    route_ = config_->findRoute(*host, request_.head.target);
     if (route_ == nullptr) {
         refuseByConfig(Reason::UnknownRoute, "no route has that host and path");
         return false;
     }
-    if (!route_->needsKey) {
+    if (!route_->requiresApiKey) {
         return true;
     }
-    workspace_ = config_->workspaceOfKey(terms_.key);
+    workspace_ = config_->findWorkspaceByKey(terms_.key);
     if (workspace_ == nullptr) {
         refuseByConfig(Reason::Unauthenticated, "no workspace has that key");
         return false;
@@ -129,7 +129,7 @@
     }
     uint64_t pick = stableHash(terms_.id.text()) % total;
     for (const WeightedService &part : route_->services) {
-        service_ = config_->service(part.service);
+        service_ = config_->findService(part.service);
         if (pick < part.weight) {
             break;
         }
@@ -147,15 +147,15 @@
         return;
     }
     context_.placement.onRequest(service_->name, request_.receivedAt);
-    const bool prepaid = workspace_ != nullptr && workspace_->prepaid && terms_.countsTokens;
+    const bool prepaid = workspace_ != nullptr && workspace_->isPrepaid && terms_.countsTokens;
     if (!prepaid) {
         place();
         return;
     }
     position_.handle("reserve");
-    reserved_ = terms_.promptTokens + terms_.outputTokens;
+    reserved_ = terms_.promptTokens + terms_.maxOutputTokens;
     const std::weak_ptr<Exchange> weak = weak_from_this();
-    const TokenTicket ticket = context_.tokens.reserve(
+    const TokenRequestId ticket = context_.tokens.reserve(
             workspace_->name, reserved_, deadline_, [weak](std::optional<Verdict> refusal) {
                 if (const std::shared_ptr<Exchange> self = weak.lock()) {
                     self->onReserved(std::move(refusal));
@@ -187,10 +187,10 @@
     item.request = terms_.id;
     item.workspace = workspace_ == nullptr ? WorkspaceId() : workspace_->name;
     item.service = service_->name;
-    const bool urgent = route_->urgency == 0;
+    const bool urgent = route_->priority == 0;
     item.workClass = urgent ? WorkClass::Interactive : WorkClass::Batch;
     item.promptTokens = terms_.promptTokens;
-    item.outputCeiling = terms_.outputTokens;
+    item.outputCeiling = terms_.maxOutputTokens;
     item.idempotent = route_->kind == RouteKind::Idempotent || route_->resumable;
     item.arrivedAt = request_.receivedAt;
     item.deadline = deadline_;
@@ -201,7 +201,7 @@
 {
     position_.handle("place");
     const Instant now = std::chrono::steady_clock::now();
-    Placing placing = context_.placement.place(workItem(), terms_.prompt, tried_, now);
+    PlacementResult placing = context_.placement.place(workItem(), terms_.prompt, tried_, now);
     if (auto *verdict = std::get_if<Verdict>(&placing)) {
         if (sends_ > 0 && possibleRuns_ > 0) {
             fail(Reason::EndpointFailed, verdict->detail, 502);
@@ -210,25 +210,25 @@
         refuse(std::move(*verdict));
         return;
     }
-    send(std::get<Placed>(placing));
+    send(std::get<PlacementTarget>(placing));
 }
 
 RequestHead Exchange::forwardHead(Instant now, const EndpointId &endpoint) const
 {
-    ForwardTerms terms;
-    terms.patience = remaining(now);
+    ForwardMetadata terms;
+    terms.timeout = remaining(now);
     terms.endpoint = endpoint;
     terms.resumeBehind = lastEvent_;
     if (workspace_ != nullptr) {
         terms.workspace = workspace_->name;
     }
-    terms.byUrgency = service_->engine;
-    terms.urgency =
-            workspace_ != nullptr && workspace_->ownUrgency ? workspace_->urgency : route_->urgency;
+    terms.byUrgency = service_->isModelEngine;
+    terms.urgency = workspace_ != nullptr && workspace_->overridesPriority ? workspace_->priority
+                                                                           : route_->priority;
     return context_.dialect.encodeForward(request_.head, terms);
 }
 
-void Exchange::send(const Placed &placed)
+void Exchange::send(const PlacementTarget &placed)
 {
     const Instant now = std::chrono::steady_clock::now();
     position_.handle("send");
@@ -241,7 +241,7 @@
                                       : context_.pool.take(placed.address, FreshForOnce, now);
     log(Event("request.sent")
                 .with("endpoint", placed.endpoint)
-                .with("why", placed.why)
+                .with("why", placed.reason)
                 .with("attempt", sends_)
                 .with("left_ms", millis(remaining(now)).count())
                 .with("config", config_->version));
@@ -249,7 +249,7 @@
     std::string bytes = writeRequestHead(forwardHead(now, placed.endpoint), request_.body.size());
     bytes += request_.body;
     context_.link.onSent(bytes.size(), now);
-    armSilence(scaled(route_->objective, SilenceFactor));
+    armSilence(scaled(route_->latencyTarget, SilenceFactor));
     attempt_->connection->call(std::move(bytes), *this);
 }
 
@@ -291,10 +291,10 @@
     if (ended() || !mayRunAgain()) {
         return;
     }
-    if (!context_.placement.mayRepeat(service_->name, std::chrono::steady_clock::now())) {
+    if (!context_.placement.mayRetry(service_->name, std::chrono::steady_clock::now())) {
         return;
     }
-    noteBrokenOff(AttemptEnd::Silent);
+    noteBrokenOff(AttemptEnd::Stalled);
     dropAttempt(false);
     position_.handle("cut");
     tryElsewhere("the endpoint is silent");
@@ -303,14 +303,14 @@
 bool Exchange::mayRunAgain() const
 {
     const bool repeatable = route_->kind == RouteKind::Idempotent || route_->resumable;
-    return repeatable && sends_ < route_->mostEndpoints;
+    return repeatable && sends_ < route_->maxAttempts;
 }
 
 void Exchange::onHead(const ResponseHead &head)
 {
     attempt_->head = head;
-    attempt_->terms = context_.dialect.decodeAnswer(head);
-    const AnswerTerms &terms = attempt_->terms;
+    attempt_->terms = context_.dialect.decodeResponse(head);
+    const ResponseMetadata &terms = attempt_->terms;
     const Instant now = std::chrono::steady_clock::now();
     if (terms.keptOpenFor) {
         // Half a second before the endpoint's own time: a request that crosses its close
@@ -327,7 +327,7 @@
     if (foreign || spoilt) {
         // An answer to somebody else's request, come late, or not the endpoint's own. What
         // follows on this connection can't be trusted either.
-        attempt_->end = AttemptEnd::AnswerRejected;
+        attempt_->end = AttemptEnd::ResponseRejected;
         dropAttempt(false);
         runAgainOrFail(foreign ? "another request's answer came" : "the answer is spoilt");
         return;
@@ -337,7 +337,7 @@
     }
     attempt_->answering = good;
     if (good && route_->kind != RouteKind::Stream) {
-        armSilence(scaled(route_->objective, SilenceFactor));
+        armSilence(scaled(route_->latencyTarget, SilenceFactor));
     }
 }
 
@@ -369,7 +369,7 @@
 {
     if (!streaming_) {
         streaming_ = true;
-        sink_.beginStream(context_.dialect.encodeAnswer(attempt_->head));
+        sink_.beginStream(context_.dialect.encodeResponse(attempt_->head));
     }
 }
 
@@ -386,7 +386,7 @@
         return;
     }
     if (attempt_->firstEvent) {
-        armSilence(scaled(route_->pauseObjective, PauseFactor));
+        armSilence(scaled(route_->eventGapTarget, PauseFactor));
     }
     if (sink_.backlog() > MostBacklogBytes) {
         attempt_->connection->pauseReading();
@@ -441,7 +441,7 @@
         runAgainOrFail("the stream ended inside an event");
         return;
     }
-    attempt_->end = AttemptEnd::Answered;
+    attempt_->end = AttemptEnd::Completed;
     endAttempt(true);
     sink_.endStream();
     finish("whole", "answered", 200);
@@ -451,9 +451,9 @@
 {
     const int status = attempt_->head.status;
     const bool failed = status >= 500;
-    attempt_->end = attempt_->answering ? AttemptEnd::Answered : AttemptEnd::Failed;
+    attempt_->end = attempt_->answering ? AttemptEnd::Completed : AttemptEnd::Failed;
     if (failed && mayRunAgain()
-        && context_.placement.mayRepeat(service_->name, std::chrono::steady_clock::now())) {
+        && context_.placement.mayRetry(service_->name, std::chrono::steady_clock::now())) {
         endAttempt(false);
         position_.handle("cut");
         tryElsewhere(fmt::format("the endpoint answered {}", status));
@@ -466,7 +466,7 @@
         fail(Reason::StreamCut, fmt::format("the stream was to go on, and {} came", status), 502);
         return;
     }
-    const ResponseHead head = context_.dialect.encodeAnswer(attempt_->head);
+    const ResponseHead head = context_.dialect.encodeResponse(attempt_->head);
     const std::string body = std::move(attempt_->body);
     plainAnswerTold_ = plainAnswerTold_ || attempt_->answering;
     endAttempt(!failed);
@@ -485,14 +485,14 @@
     const int status = attempt_->head.status;
     const EndpointId endpoint = attempt_->endpoint;
     if (status == 421) {
-        context_.placement.onMissing(endpoint, now);
+        context_.placement.onStaleEndpoint(endpoint, now);
     }
     attempt_->end = AttemptEnd::NotExecuted;
     endAttempt(status != 421);
     position_.handle("not_run");
     const std::string why = fmt::format("endpoint {} refused with {}", endpoint.text(), status);
     const bool again =
-            sends_ < route_->mostEndpoints && context_.placement.mayRepeat(service_->name, now);
+            sends_ < route_->maxAttempts && context_.placement.mayRetry(service_->name, now);
     if (again) {
         tryElsewhere(why);
         return;
@@ -521,7 +521,7 @@
     // callers until their deadlines.
     const bool ownLink = context_.link.busy(now);
     if (!ownLink) {
-        context_.placement.onMissing(attempt_->endpoint, now);
+        context_.placement.onStaleEndpoint(attempt_->endpoint, now);
     }
     attempt_->end = AttemptEnd::NotConnected;
     endAttempt(false);
@@ -538,7 +538,7 @@
 void Exchange::runAgainOrFail(const std::string &why)
 {
     const Instant now = std::chrono::steady_clock::now();
-    if (mayRunAgain() && context_.placement.mayRepeat(service_->name, now)) {
+    if (mayRunAgain() && context_.placement.mayRetry(service_->name, now)) {
         position_.handle("cut");
         tryElsewhere(why);
         return;
@@ -560,7 +560,7 @@
         return;
     }
     const Instant now = std::chrono::steady_clock::now();
-    TryResult result;
+    AttemptResult result;
     result.endpoint = attempt_->endpoint;
     result.request = terms_.id;
     result.succeeded = succeeded;
@@ -570,7 +570,7 @@
     }
     ends_.push_back(attempt_->end);
     attempt_.reset();
-    context_.placement.onEnd(result, now);
+    context_.placement.onAttemptEnd(result, now);
 }
 
 void Exchange::dropAttempt(bool succeeded)
@@ -590,8 +590,8 @@
     }
     dropAttempt(true);
     std::optional<Interval> after;
-    if (verdict.comeBackAt) {
-        after = std::max(*verdict.comeBackAt - now, Interval::zero());
+    if (verdict.retryAt) {
+        after = std::max(*verdict.retryAt - now, Interval::zero());
     }
     const int status = refusalStatus(verdict.reason);
     log(Event("request.refused")
@@ -688,14 +688,14 @@
 
 uint64_t Exchange::spentTokens() const
 {
-    RequestUse use;
+    RequestUsage use;
     use.promptTokens = terms_.promptTokens;
-    use.mostOutputTokens = terms_.outputTokens;
+    use.maxOutputTokens = terms_.maxOutputTokens;
     use.tokensPerEvent = service_->tokensPerEvent;
     use.attempts = ends_;
-    use.eventsPassedOn = eventsTold_;
-    use.plainAnswerPassedOn = plainAnswerTold_;
-    return charge(use);
+    use.eventsForwarded = eventsTold_;
+    use.nonStreamingResponseForwarded = plainAnswerTold_;
+    return tokensToCharge(use);
 }
 
 void Exchange::settle()
--- a/lib/Proxy/HttpReader.cpp
+++ b/lib/Proxy/HttpReader.cpp
@@ -79,13 +79,13 @@
     }
     // Beast takes the end of a connection on which nothing came for a whole message.
     if (!hasHead_) {
-        fault_ = HttpFault::CutOff;
+        fault_ = HttpFault::Truncated;
         return;
     }
     ErrorCode error;
     this->put_eof(error);
     if (error || !this->is_done()) {
-        fault_ = HttpFault::CutOff;
+        fault_ = HttpFault::Truncated;
         return;
     }
     done_ = true;
--- a/lib/Router/ChatDriver.cpp
+++ b/lib/Router/ChatDriver.cpp
@@ -99,7 +99,7 @@
     } catch (const std::exception &error) {
         failure = failureNow(Reason::Internal, error.what());
     }
-    if (!position_.ended()) {
+    if (!position_.isFinished()) {
         position_.handle(failure ? "give_up" : "whole");
     }
     settle(failure);
@@ -199,7 +199,7 @@
         } catch (const VerdictError &error) {
             failure = error.verdict();
         }
-        TryResult result;
+        AttemptResult result;
         result.endpoint = chosen;
         result.request = item_.request;
         result.succeeded = !failure;
--- a/lib/Router/PlainService.cpp
+++ b/lib/Router/PlainService.cpp
@@ -327,7 +327,7 @@
 {
     const Instant sentAt = steadyNow();
     const ConnectionResult sent = sendTo(call, endpoint);
-    TryResult result;
+    AttemptResult result;
     result.endpoint = endpoint;
     result.request = call.scheduler.item.request;
     const bool overloaded =
--- a/lib/Router/Scheduler.cpp
+++ b/lib/Router/Scheduler.cpp
@@ -54,7 +54,7 @@
 void Scheduler::admit(const WorkItem &item)
 {
     absl::MutexLock lock(&mutex_);
-    retries_.onFirstTry(steadyNow());
+    retries_.onFirstAttempt(steadyNow());
     // Known before the offer, whose poll may already say that its wait is over.
     Waiter waiter;
     waiters_.emplace(item.request, &waiter);
@@ -107,11 +107,11 @@
 EndpointId Scheduler::choose(const WorkItem &item, const std::vector<EndpointId> &tried)
 {
     absl::MutexLock lock(&mutex_);
-    const ChoiceOutcome outcome = choice_.choose(item, tried, steadyNow());
+    const SelectionOutcome outcome = choice_.select(item, tried, steadyNow());
     if (const Verdict *verdict = std::get_if<Verdict>(&outcome)) {
         throw VerdictError(*verdict);
     }
-    const EndpointId chosen = std::get<Chosen>(outcome).endpoint;
+    const EndpointId chosen = std::get<SelectedEndpoint>(outcome).endpoint;
     choice_.onSent(chosen, item, steadyNow());
     return chosen;
 }
@@ -124,7 +124,7 @@
     releaseWaiters(steadyNow());
 }
 
-void Scheduler::onEnd(const TryResult &result)
+void Scheduler::onEnd(const AttemptResult &result)
 {
     absl::MutexLock lock(&mutex_);
     choice_.onEnd(result, steadyNow());
@@ -152,7 +152,7 @@
     }
     // No room at all means no usable endpoint: the choice says so at once, where a
     // queue without slots would let each caller wait first.
-    const uint32_t room = choice_.totalSlots(now);
+    const uint32_t room = choice_.concurrencyLimit(now);
     admission_.setSlots(room > 0 ? std::min(room, slotLimit_) : slotLimit_, now);
     releaseWaiters(now);
 }
--- a/lib/Router/VerdictHttp.cpp
+++ b/lib/Router/VerdictHttp.cpp
@@ -56,8 +56,8 @@
                             {"type", rowOf(verdict.reason).type},
                             {"code", reasonName(verdict.reason)},
                             {"execution", executionName(verdict.execution)}};
-    if (verdict.comeBackAt) {
-        const auto wait = std::chrono::ceil<Millis>(*verdict.comeBackAt - now);
+    if (verdict.retryAt) {
+        const auto wait = std::chrono::ceil<Millis>(*verdict.retryAt - now);
         error["retry_after_ms"] = std::max<int64_t>(wait.count(), 1);
     }
     return {{"error", error}};
@@ -67,8 +67,8 @@
 {
     response.status = httpStatusOf(verdict);
     response.set_header("X-Execution", std::string(executionName(verdict.execution)));
-    if (verdict.comeBackAt) {
-        const auto wait = std::chrono::ceil<Seconds>(*verdict.comeBackAt - now);
+    if (verdict.retryAt) {
+        const auto wait = std::chrono::ceil<Seconds>(*verdict.retryAt - now);
         response.set_header("Retry-After", fmt::format("{}", std::max<int64_t>(wait.count(), 1)));
     }
     response.set_content(errorJson(verdict, now).dump(), "application/json");
--- a/lib/Transport/WireVerdict.cpp
+++ b/lib/Transport/WireVerdict.cpp
@@ -35,9 +35,9 @@
     wire.set_execution(executionToWire(verdict.execution));
     wire.set_reason(std::string(reasonName(verdict.reason)));
     wire.set_detail(verdict.detail);
-    if (verdict.comeBackAt) {
+    if (verdict.retryAt) {
         // 0 would say that there is no use in coming back.
-        const auto wait = std::chrono::duration_cast<Millis>(*verdict.comeBackAt - now);
+        const auto wait = std::chrono::duration_cast<Millis>(*verdict.retryAt - now);
         wire.set_retry_after_ms(static_cast<uint64_t>(std::max<int64_t>(1, wait.count())));
     }
     return wire;
@@ -50,7 +50,7 @@
     verdict.reason = reasonFromName(wire.reason()).value_or(Reason::Internal);
     verdict.detail = wire.detail();
     if (wire.retry_after_ms() > 0) {
-        verdict.comeBackAt = now + Millis(wire.retry_after_ms());
+        verdict.retryAt = now + Millis(wire.retry_after_ms());
     }
     return verdict;
 }
--- a/test/Edge/FailureTest.cpp
+++ b/test/Edge/FailureTest.cpp
@@ -21,9 +21,9 @@
 class FailingDialect : public platform::PlatformDialect
 {
 public:
-    CallerTerms decodeCaller(const RequestHead &head) const override
+    RequestMetadata decodeCaller(const RequestHead &head) const override
     {
-        CallerTerms terms = PlatformDialect::decodeCaller(head);
+        RequestMetadata terms = PlatformDialect::decodeCaller(head);
         if (terms.id.text() == "fail") {
             throw std::logic_error("a fault of the program");
         }
--- a/unittests/Base/StatechartTest.cpp
+++ b/unittests/Base/StatechartTest.cpp
@@ -53,10 +53,10 @@
     const Statechart chart = Statechart::parse(
             R"({"name":"c","initial":"a","final":["b"],"events":["e"],
                 "states":{"a":{"e":"b"},"b":{"e":"b"}}})");
-    StatechartPosition position(chart);
-    EXPECT_FALSE(position.ended());
+    StatechartInstance position(chart);
+    EXPECT_FALSE(position.isFinished());
     position.handle("e");
-    EXPECT_TRUE(position.ended());
+    EXPECT_TRUE(position.isFinished());
     EXPECT_THROW(position.handle("unknown"), StatechartError);
 }
 
--- a/unittests/Config/ConfigFoldTest.cpp
+++ b/unittests/Config/ConfigFoldTest.cpp
@@ -67,7 +67,7 @@
     }
     uint64_t total(const std::string &workspace) const
     {
-        const wire::WorkspaceConfig *known = fold.workspace(WorkspaceId(workspace));
+        const wire::WorkspaceConfig *known = fold.findWorkspace(WorkspaceId(workspace));
         return known ? prepaidTotal(*known) : 0;
     }
 
@@ -148,7 +148,11 @@
          50,
          9},
         // The morning's sheet is applied, then applied again after a correction.
-        {"TopUpOnce", {.topUpOnce = false}, {topUp(0, "w", "t", 3), topUp(1, "w", "t", 3)}, 3, 6},
+        {"TopUpOnce",
+         {.deduplicateTopUps = false},
+         {topUp(0, "w", "t", 3), topUp(1, "w", "t", 3)},
+         3,
+         6},
 };
 
 class ConfigSafeguard : public testing::TestWithParam<ConfigWithout>
@@ -176,11 +180,11 @@
     Folder ahead;
     ahead.apply(budget(0, "w", 5));
     ahead.apply(budget(1, "w", 6));
-    EXPECT_TRUE(old.fold.takeNewer(ahead.fold.state()));
+    EXPECT_TRUE(old.fold.adoptIfNewer(ahead.fold.state()));
     EXPECT_EQ(old.total("w"), 6U);
     Folder behind;
     behind.apply(budget(0, "w", 5));
-    EXPECT_FALSE(old.fold.takeNewer(behind.fold.state()));
+    EXPECT_FALSE(old.fold.adoptIfNewer(behind.fold.state()));
     EXPECT_EQ(old.fold.version(), 2U);
 }
 
@@ -191,11 +195,11 @@
     Folder ahead;
     ahead.apply(budget(0, "w", 5));
     ConfigFold fresh;
-    ASSERT_TRUE(fresh.takeNewer(ahead.fold.state()));
+    ASSERT_TRUE(fresh.adoptIfNewer(ahead.fold.state()));
     EXPECT_EQ(fresh.outcomeOf(Incarnation("op"), 1), FoldOutcome::Accepted);
     EXPECT_EQ(fresh.outcomeOf(Incarnation("op"), 2), std::nullopt);
     EXPECT_EQ(fresh.apply(records::from("op", 1, budget(0, "w", 5)), 1).outcome,
-              FoldOutcome::Doubled);
+              FoldOutcome::Duplicate);
     EXPECT_EQ(fresh.outcomeOf(Incarnation("op"), 1), FoldOutcome::Accepted);
 }
 
@@ -204,10 +208,10 @@
     Folder folder;
     folder.apply(keyFor(0, "v", "aa"));
     folder.apply(keyFor(1, "w", "bb"));
-    ASSERT_NE(folder.fold.workspaceOfKeyHash("bb"), nullptr);
-    EXPECT_EQ(folder.fold.workspaceOfKeyHash("bb")->workspace(), "w");
+    ASSERT_NE(folder.fold.findWorkspaceByKeyHash("bb"), nullptr);
+    EXPECT_EQ(folder.fold.findWorkspaceByKeyHash("bb")->workspace(), "w");
     folder.apply(removal(2, "w"));
-    EXPECT_EQ(folder.fold.workspaceOfKeyHash("bb"), nullptr);
+    EXPECT_EQ(folder.fold.findWorkspaceByKeyHash("bb"), nullptr);
 }
 
 } // namespace
--- a/unittests/Config/ConfigModelTest.cpp
+++ b/unittests/Config/ConfigModelTest.cpp
@@ -57,14 +57,14 @@
                   || unchanged.SerializeAsString() == fold.state().SerializeAsString());
     }
     ConfigFold taken;
-    RC_ASSERT(taken.takeNewer(fold.state()));
+    RC_ASSERT(taken.adoptIfNewer(fold.state()));
     for (const std::string &key : Keys) {
-        const wire::WorkspaceConfig *here = fold.workspaceOfKeyHash(key);
-        const wire::WorkspaceConfig *there = taken.workspaceOfKeyHash(key);
+        const wire::WorkspaceConfig *here = fold.findWorkspaceByKeyHash(key);
+        const wire::WorkspaceConfig *there = taken.findWorkspaceByKeyHash(key);
         RC_ASSERT((here ? here->workspace() : "") == (there ? there->workspace() : ""));
     }
     for (const wire::WorkspaceConfig &workspace : fold.state().workspaces()) {
-        RC_ASSERT(fold.workspace(WorkspaceId(workspace.workspace())) == &workspace);
+        RC_ASSERT(fold.findWorkspace(WorkspaceId(workspace.workspace())) == &workspace);
         RC_ASSERT(prepaidTotal(workspace) <= workspace.budget_tokens() + 7 * Keys.size());
     }
 }
--- a/unittests/Config/ServingConfigTest.cpp
+++ b/unittests/Config/ServingConfigTest.cpp
@@ -53,8 +53,8 @@
     add("a", "h.example", "/a/");
     add("ab", "h.example", "/a/b/");
     add("address", "[fd00::1]", "/");
-    config.index();
-    const Route *route = config.route(GetParam().host, GetParam().path);
+    config.buildIndexes();
+    const Route *route = config.findRoute(GetParam().host, GetParam().path);
     ASSERT_EQ(route != nullptr, GetParam().route != nullptr);
     if (route != nullptr) {
         EXPECT_EQ(route->name, GetParam().route);
--- a/unittests/Config/SheetTest.cpp
+++ b/unittests/Config/SheetTest.cpp
@@ -107,9 +107,9 @@
 
 TEST_P(SheetRefused, NamesEveryFault)
 {
-    const SheetOutcome outcome = parseSheet(GetParam().bytes);
-    ASSERT_TRUE(std::holds_alternative<SheetFaults>(outcome));
-    const auto &faults = std::get<SheetFaults>(outcome);
+    const ParseSheetResult outcome = parseSheet(GetParam().bytes);
+    ASSERT_TRUE(std::holds_alternative<SheetErrors>(outcome));
+    const auto &faults = std::get<SheetErrors>(outcome);
     ASSERT_EQ(faults.size(), GetParam().faults.size())
             << (faults.empty() ? "" : describe(faults.back()));
     for (std::size_t index = 0; index < faults.size(); ++index) {
@@ -154,20 +154,20 @@
 /// again. The caller sees the same total: the second time changes nothing.
 TEST_P(SheetTaken, IsPutIntoForceOnce)
 {
-    const SheetOutcome outcome = parseSheet(GetParam().bytes);
+    const ParseSheetResult outcome = parseSheet(GetParam().bytes);
     ASSERT_TRUE(std::holds_alternative<Sheet>(outcome))
-            << describe(std::get<SheetFaults>(outcome).front());
+            << describe(std::get<SheetErrors>(outcome).front());
     ConfigFold fold;
     for (uint64_t sequence = 1; sequence <= 2; ++sequence) {
-        const SheetChangeOutcome change =
-                changeFor(std::get<Sheet>(outcome), fold.state(), "rasa", "morning");
+        const SheetChangeResult change =
+                makeConfigChange(std::get<Sheet>(outcome), fold.state(), "rasa", "morning");
         ASSERT_TRUE(std::holds_alternative<wire::ConfigChange>(change));
         EXPECT_EQ(std::get<wire::ConfigChange>(change).workspaces().empty(), sequence == 2);
         wire::Record record;
         *record.mutable_config_change() = std::get<wire::ConfigChange>(change);
         ASSERT_EQ(fold.apply(records::from("op", sequence, record), sequence - 1).outcome,
                   FoldOutcome::Accepted);
-        const wire::WorkspaceConfig *workspace = fold.workspace(WorkspaceId("w"));
+        const wire::WorkspaceConfig *workspace = fold.findWorkspace(WorkspaceId("w"));
         ASSERT_NE(workspace, nullptr);
         EXPECT_EQ(workspace->name(), GetParam().workspaceName);
         EXPECT_EQ(prepaidTotal(*workspace), GetParam().total);
@@ -183,12 +183,12 @@
     const auto first = std::get<Sheet>(parseSheet(rows("w,W,5,t,1,chat,1,\n")));
     wire::Record record;
     *record.mutable_config_change() =
-            std::get<wire::ConfigChange>(changeFor(first, fold.state(), "rasa", ""));
+            std::get<wire::ConfigChange>(makeConfigChange(first, fold.state(), "rasa", ""));
     fold.apply(records::from("op", 1, record), 0);
     const auto second = std::get<Sheet>(parseSheet(rows("w,W,5,t,2,chat,1,\n")));
-    const SheetChangeOutcome change = changeFor(second, fold.state(), "rasa", "");
-    ASSERT_TRUE(std::holds_alternative<SheetFaults>(change));
-    EXPECT_EQ(describe(std::get<SheetFaults>(change).front()),
+    const SheetChangeResult change = makeConfigChange(second, fold.state(), "rasa", "");
+    ASSERT_TRUE(std::holds_alternative<SheetErrors>(change));
+    EXPECT_EQ(describe(std::get<SheetErrors>(change).front()),
               "line 2, column top_up_tokens: top-up 't' was applied with 1 tokens");
 }
 
@@ -197,9 +197,9 @@
     std::ifstream file(SEQUOIAGATE_SOURCE_DIR "/docs/examples/sheet.csv", std::ios::binary);
     std::ostringstream bytes;
     bytes << file.rdbuf();
-    const SheetOutcome outcome = parseSheet(bytes.str());
+    const ParseSheetResult outcome = parseSheet(bytes.str());
     ASSERT_TRUE(std::holds_alternative<Sheet>(outcome))
-            << describe(std::get<SheetFaults>(outcome).front());
+            << describe(std::get<SheetErrors>(outcome).front());
     EXPECT_EQ(std::get<Sheet>(outcome).workspaces.size(), 3U);
 }
 
--- a/unittests/Decisions/AdmissionTest.cpp
+++ b/unittests/Decisions/AdmissionTest.cpp
@@ -254,10 +254,10 @@
     }
     std::map<int64_t, int> perSecond;
     for (const Verdict &verdict : player.verdicts()) {
-        ASSERT_TRUE(verdict.comeBackAt.has_value());
-        EXPECT_GT(*verdict.comeBackAt, burst);
+        ASSERT_TRUE(verdict.retryAt.has_value());
+        EXPECT_GT(*verdict.retryAt, burst);
         EXPECT_EQ(verdict.execution, Execution::NotRun);
-        ++perSecond[std::chrono::duration_cast<Seconds>(*verdict.comeBackAt - burst).count()];
+        ++perSecond[std::chrono::duration_cast<Seconds>(*verdict.retryAt - burst).count()];
     }
     ASSERT_GE(player.verdicts().size(), 900U);
     int most = 0;
@@ -306,7 +306,7 @@
     item.deadline = Start + Millis(50);
     const AdmissionOutcome outcome = admission.offer(item, Start);
     ASSERT_TRUE(std::holds_alternative<Queued>(outcome));
-    EXPECT_EQ(std::get<Queued>(outcome).until, item.deadline);
+    EXPECT_EQ(std::get<Queued>(outcome).deadline, item.deadline);
     EXPECT_EQ(admission.nextDeadline(), item.deadline);
     admission.finished(RequestId("a-0"), 400, item.deadline);
     const std::vector<QueueRelease> released = admission.poll(item.deadline);
--- a/unittests/Decisions/RetryAllotmentTest.cpp
+++ b/unittests/Decisions/DistributedRetryBudgetTest.cpp
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-#include "sequoiagate/Decisions/RetryAllotment.h"
+#include "sequoiagate/Decisions/DistributedRetryBudget.h"
 
 using namespace sequoiagate;
 
@@ -22,13 +22,14 @@
 
 TEST_P(RetryFleet, KeepsTheBoundInEveryWindow)
 {
-    RetryAllotmentSettings settings;
+    DistributedRetryBudgetSettings settings;
     settings.ratio = 0.2;
-    settings.slack = 50;
+    settings.baseRetries = 50;
     const ServiceId service("s");
-    std::vector<RetryAllotment> fleet(GetParam().processes, RetryAllotment(settings));
-    for (RetryAllotment &process : fleet) {
-        process.setProcesses(GetParam().processes);
+    std::vector<DistributedRetryBudget> fleet(GetParam().processes,
+                                              DistributedRetryBudget(settings));
+    for (DistributedRetryBudget &process : fleet) {
+        process.setProcessCount(GetParam().processes);
     }
     std::vector<int> requests;
     std::vector<int> repeats;
@@ -36,11 +37,11 @@
     for (int second = 0; second < 40; ++second) {
         requests.push_back(0);
         repeats.push_back(0);
-        for (RetryAllotment &process : fleet) {
+        for (DistributedRetryBudget &process : fleet) {
             for (int i = 0; i < GetParam().requestsPerSecond; ++i) {
                 process.onRequest(service, now);
                 ++requests.back();
-                repeats.back() += process.mayRepeat(service, now) ? 1 : 0;
+                repeats.back() += process.mayRetry(service, now) ? 1 : 0;
             }
         }
         now += std::chrono::seconds(1);
@@ -52,7 +53,7 @@
             asked += requests[i];
             repeated += repeats[i];
         }
-        EXPECT_LE(repeated, settings.ratio * asked + settings.slack);
+        EXPECT_LE(repeated, settings.ratio * asked + settings.baseRetries);
         if (GetParam().requestsPerSecond > 0) {
             EXPECT_GT(repeated, 0);
         }
--- a/unittests/Decisions/EndpointChoiceTest.cpp
+++ b/unittests/Decisions/EndpointSelectorTest.cpp
@@ -1,4 +1,4 @@
-#include "sequoiagate/Decisions/EndpointChoice.h"
+#include "sequoiagate/Decisions/EndpointSelector.h"
 
 #include <algorithm>
 #include <deque>
@@ -61,16 +61,16 @@
     return report;
 }
 
-EndpointChoiceSettings oneRouter()
+EndpointSelectorSettings oneRouter()
 {
-    EndpointChoiceSettings settings;
-    settings.routers = 1;
+    EndpointSelectorSettings settings;
+    settings.routerCount = 1;
     return settings;
 }
 
-std::string chosenId(const ChoiceOutcome &outcome)
+std::string chosenId(const SelectionOutcome &outcome)
 {
-    const auto *chosen = std::get_if<Chosen>(&outcome);
+    const auto *chosen = std::get_if<SelectedEndpoint>(&outcome);
     return chosen == nullptr ? "" : chosen->endpoint.text();
 }
 
@@ -87,7 +87,7 @@
     std::string call(int number, Instant now, uint64_t prefix = 0)
     {
         const WorkItem item = itemOf(number, prefix);
-        const ChoiceOutcome outcome = choice.choose(item, {}, now);
+        const SelectionOutcome outcome = choice.select(item, {}, now);
         const std::string endpoint = chosenId(outcome);
         if (endpoint.empty()) {
             return endpoint;
@@ -104,7 +104,7 @@
         return endpoint;
     }
 
-    EndpointChoice choice;
+    EndpointSelector choice;
     std::map<std::string, Interval> firstToken;
     std::map<std::string, bool> failing;
     std::map<std::string, int> sent;
@@ -113,7 +113,7 @@
 struct UnusableCase
 {
     const char *name;
-    void (*spoil)(EndpointChoice &choice);
+    void (*spoil)(EndpointSelector &choice);
     Reason reason;
     const char *why; ///< named by unserved and in the verdict; empty: it is served
 };
@@ -125,38 +125,38 @@
 // and the refusal itself counts the causes.
 const UnusableCase UnusableCases[] = {
         {"Leaving",
-         [](EndpointChoice &choice) {
+         [](EndpointSelector &choice) {
              LoadReport report = reportOf(0, 0, Start);
              report.leaving = true;
              choice.onReport(report, Start);
          },
          Reason::NoEndpoint, "leaving"},
         {"Unreachable",
-         [](EndpointChoice &choice) {
+         [](EndpointSelector &choice) {
              LoadReport report = reportOf(0, 0, Start);
              report.reachable = false;
              choice.onReport(report, Start);
          },
          Reason::NoEndpoint, "unreachable"},
         {"LeavingByConfiguration",
-         [](EndpointChoice &choice) {
+         [](EndpointSelector &choice) {
              std::vector<EndpointSpec> specs = fleetOf(1);
              specs[0].leaving = true;
              choice.setEndpoints(specs, Start);
          },
          Reason::NoEndpoint, "leaving"},
-        {"NobodyOffersIt", [](EndpointChoice &choice) { choice.setEndpoints({}, Start); },
+        {"NobodyOffersIt", [](EndpointSelector &choice) { choice.setEndpoints({}, Start); },
          Reason::NoEndpoint, ""},
-        {"Full", [](EndpointChoice &choice) { choice.onReport(reportOf(0, 40, Start), Start); },
+        {"Full", [](EndpointSelector &choice) { choice.onReport(reportOf(0, 40, Start), Start); },
          Reason::None, ""},
 };
 
 TEST_P(Unusable, NamesItsReason)
 {
-    EndpointChoice choice(Here, oneRouter());
+    EndpointSelector choice(Here, oneRouter());
     choice.setEndpoints(fleetOf(1), Start);
     GetParam().spoil(choice);
-    const ChoiceOutcome outcome = choice.choose(itemOf(1), {}, Start);
+    const SelectionOutcome outcome = choice.select(itemOf(1), {}, Start);
     const std::vector<UnservedRoute> routes = choice.unserved(Chat, Start);
     if (GetParam().reason == Reason::None) {
         EXPECT_EQ(chosenId(outcome), "e0");
@@ -167,10 +167,10 @@
     ASSERT_NE(verdict, nullptr);
     EXPECT_EQ(verdict->reason, GetParam().reason);
     EXPECT_EQ(verdict->execution, Execution::NotRun);
-    EXPECT_TRUE(verdict->comeBackAt);
+    EXPECT_TRUE(verdict->retryAt);
     ASSERT_EQ(routes.empty(), GetParam().why == std::string());
     if (!routes.empty()) {
-        EXPECT_EQ(routes[0].why, GetParam().why);
+        EXPECT_EQ(routes[0].reason, GetParam().why);
         EXPECT_NE(verdict->detail.find(GetParam().why), std::string::npos) << verdict->detail;
     }
 }
@@ -185,12 +185,12 @@
     Caller caller(3);
     std::vector<EndpointId> tried;
     for (int i = 0; i < 3; ++i) {
-        const std::string id = chosenId(caller.choice.choose(itemOf(1, 7), tried, Start));
+        const std::string id = chosenId(caller.choice.select(itemOf(1, 7), tried, Start));
         ASSERT_FALSE(id.empty());
         EXPECT_EQ(std::count(tried.begin(), tried.end(), EndpointId(id)), 0);
         tried.push_back(EndpointId(id));
     }
-    EXPECT_EQ(chosenId(caller.choice.choose(itemOf(1, 7), tried, Start)), "");
+    EXPECT_EQ(chosenId(caller.choice.select(itemOf(1, 7), tried, Start)), "");
 }
 
 TEST(EndpointChoice, KeepsAHotPrefixTogetherAndBelowItsBound)
@@ -203,7 +203,7 @@
     for (int i = 0; i < 60; ++i) {
         const WorkItem item = itemOf(i, 42);
         const Instant now = Start + i * Millis(100);
-        const EndpointId endpoint(chosenId(caller.choice.choose(item, {}, now)));
+        const EndpointId endpoint(chosenId(caller.choice.select(item, {}, now)));
         caller.choice.onSent(endpoint, item, now);
         caller.choice.onFirstToken(endpoint, item.request, now + Millis(30));
         ++open[endpoint.text()];
@@ -242,7 +242,7 @@
     for (int i = 0; i < 40; ++i) {
         const WorkItem item = itemOf(i);
         const Instant now = Start + i * Millis(10);
-        const EndpointId endpoint(chosenId(caller.choice.choose(item, {}, now)));
+        const EndpointId endpoint(chosenId(caller.choice.select(item, {}, now)));
         caller.choice.onSent(endpoint, item, now);
         ++open[endpoint.text()];
     }
@@ -255,13 +255,13 @@
 {
     // Work that leaves its domain pays the way there and back on each token's path; work
     // that stays at any price waits for a slot while the next domain idles.
-    EndpointChoice choice(Here, oneRouter());
+    EndpointSelector choice(Here, oneRouter());
     choice.setEndpoints({specOf(0), specOf(1), specOf(2, There), specOf(3, There)}, Start);
     int away = 0;
     for (int i = 0; i < 60; ++i) {
         const WorkItem item = itemOf(i);
         const Instant now = Start + i * Millis(100);
-        const EndpointId endpoint(chosenId(choice.choose(item, {}, now)));
+        const EndpointId endpoint(chosenId(choice.select(item, {}, now)));
         choice.onSent(endpoint, item, now);
         choice.onFirstToken(endpoint, item.request, now + Millis(30));
         const bool left = endpoint.text() == "e2" || endpoint.text() == "e3";
@@ -345,12 +345,12 @@
     const Instant back = Start + i * Millis(20) + Seconds(11);
     WorkItem once = itemOf(9000);
     once.idempotent = false;
-    EXPECT_NE(chosenId(caller.choice.choose(once, {}, back)), "e0");
+    EXPECT_NE(chosenId(caller.choice.select(once, {}, back)), "e0");
     const WorkItem probe = itemOf(9001);
-    ASSERT_EQ(chosenId(caller.choice.choose(probe, {}, back)), "e0");
+    ASSERT_EQ(chosenId(caller.choice.select(probe, {}, back)), "e0");
     caller.choice.onSent(EndpointId("e0"), probe, back);
     for (int next = 0; next < 50; ++next) {
-        EXPECT_NE(chosenId(caller.choice.choose(itemOf(9100 + next), {}, back)), "e0");
+        EXPECT_NE(chosenId(caller.choice.select(itemOf(9100 + next), {}, back)), "e0");
     }
 }
 
@@ -369,7 +369,7 @@
     for (int i = 0; i < 40; ++i) {
         const WorkItem item = itemOf(i);
         const Instant now = Start + Seconds(1) + i * Millis(10);
-        const EndpointId endpoint(chosenId(caller.choice.choose(item, {}, now)));
+        const EndpointId endpoint(chosenId(caller.choice.select(item, {}, now)));
         caller.choice.onSent(endpoint, item, now);
         early += endpoint == EndpointId("e0") ? 1 : 0;
     }
@@ -388,24 +388,24 @@
     report.leaving = true;
     caller.choice.onReport(report, Start);
     caller.choice.onReport(reportOf(1, 0, Start), Start);
-    EXPECT_GE(caller.choice.totalSlots(Start), 20U + 19U);
+    EXPECT_GE(caller.choice.concurrencyLimit(Start), 20U + 19U);
 }
 
 TEST(EndpointChoice, SharesSlotsWithOtherRouters)
 {
     // Ten routers see the same idle fleet of 200 slots. Each gets an equal part when all
     // slots are taken, also one that has nothing open, or its callers are refused for ever.
-    EndpointChoiceSettings settings;
-    settings.routers = 10;
-    EndpointChoice choice(Here, settings);
-    EXPECT_EQ(choice.totalSlots(Start), 0U);
+    EndpointSelectorSettings settings;
+    settings.routerCount = 10;
+    EndpointSelector choice(Here, settings);
+    EXPECT_EQ(choice.concurrencyLimit(Start), 0U);
     choice.setEndpoints(fleetOf(10), Start);
-    EXPECT_GE(choice.totalSlots(Start), 100U) << "nobody else is there";
+    EXPECT_GE(choice.concurrencyLimit(Start), 100U) << "nobody else is there";
     for (int i = 0; i < 10; ++i) {
         choice.onReport(reportOf(i, 20, Start), Start);
     }
-    EXPECT_GE(choice.totalSlots(Start), 19U);
-    EXPECT_LE(choice.totalSlots(Start), 21U);
+    EXPECT_GE(choice.concurrencyLimit(Start), 19U);
+    EXPECT_LE(choice.concurrencyLimit(Start), 21U);
 }
 
 // Callers wait for a prefix to be read that its first home has read: a request or two are open
@@ -432,22 +432,22 @@
 
 TEST_P(Reread, IsWeighedAgainstTheQueueAtHome)
 {
-    EndpointChoiceSettings settings;
+    EndpointSelectorSettings settings;
     settings.prefixHomes = 2;
-    settings.routers = GetParam().routers;
+    settings.routerCount = GetParam().routers;
     settings.rereadWeight = GetParam().rereadWeight;
-    EndpointChoice choice(Here, settings);
+    EndpointSelector choice(Here, settings);
     choice.setEndpoints(fleetOf(12), Start);
     const Instant now = Start + std::chrono::minutes(5);
     WorkItem item = itemOf(0, 7);
     item.promptTokens = 9000;
-    item.sharedTokens = 6000;
-    const EndpointId home = std::get<Chosen>(choice.choose(item, {}, now)).endpoint;
+    item.cacheablePrefixTokens = 6000;
+    const EndpointId home = std::get<SelectedEndpoint>(choice.select(item, {}, now)).endpoint;
     for (int i = 0; i < GetParam().open; ++i) {
         item.request = itemOf(i + 1, 7).request;
         choice.onSent(home, item, now);
     }
-    const EndpointId next = std::get<Chosen>(choice.choose(item, {}, now)).endpoint;
+    const EndpointId next = std::get<SelectedEndpoint>(choice.select(item, {}, now)).endpoint;
     EXPECT_EQ(next == home, GetParam().staysAtHome);
 }
 
@@ -477,10 +477,10 @@
     constexpr int Endpoints = 12;
     constexpr int Prefixes = 90;
     constexpr int OpenAtOnce = 120;
-    EndpointChoiceSettings settings;
+    EndpointSelectorSettings settings;
     settings.prefixHomes = GetParam().homes;
-    settings.routers = Routers;
-    std::vector<EndpointChoice> routers;
+    settings.routerCount = Routers;
+    std::vector<EndpointSelector> routers;
     for (int i = 0; i < Routers; ++i) {
         settings.seed = static_cast<uint64_t>(i);
         routers.emplace_back(Here, settings);
@@ -502,9 +502,9 @@
         const int router = static_cast<int>(random() % Routers);
         WorkItem item = itemOf(i, 1 + random() % Prefixes);
         item.promptTokens = 9000;
-        item.sharedTokens = 6000;
-        const ChoiceOutcome outcome = routers[router].choose(item, {}, now);
-        const EndpointId endpoint = std::get<Chosen>(outcome).endpoint;
+        item.cacheablePrefixTokens = 6000;
+        const SelectionOutcome outcome = routers[router].select(item, {}, now);
+        const EndpointId endpoint = std::get<SelectedEndpoint>(outcome).endpoint;
         routers[router].onSent(endpoint, item, now);
         open.push_back({router, endpoint, item.request});
         readers[item.prefixHash].insert(endpoint);
@@ -513,7 +513,7 @@
             const Open done = open.front();
             open.pop_front();
             routers[done.router].onFirstToken(done.endpoint, done.request, now);
-            TryResult result;
+            AttemptResult result;
             result.endpoint = done.endpoint;
             result.request = done.request;
             result.succeeded = true;
--- a/unittests/Decisions/LoadsTest.cpp
+++ b/unittests/Decisions/LoadsTest.cpp
@@ -116,8 +116,8 @@
 
 Policy policyUnderTest(const FleetSettings &fleet)
 {
-    EndpointChoiceSettings choice;
-    choice.routers = fleet.routers;
+    EndpointSelectorSettings choice;
+    choice.routerCount = fleet.routers;
     return sequoiagatePolicy({}, choice);
 }
 
--- a/unittests/Decisions/RetryBudgetTest.cpp
+++ b/unittests/Decisions/RetryBudgetTest.cpp
@@ -36,7 +36,7 @@
 TEST_P(MayRetry, ByVerdictAndIdempotence)
 {
     RetryBudget budget;
-    budget.onFirstTry(Start);
+    budget.onFirstAttempt(Start);
     const Verdict verdict{GetParam().execution, Reason::EndpointFailed, "", {}};
     EXPECT_EQ(budget.mayRetry(verdict, GetParam().idempotent, Start), GetParam().allowed);
 }
@@ -53,7 +53,7 @@
     constexpr int FirstTries = 2000;
     int retries = 0;
     for (int i = 0; i < FirstTries; ++i) {
-        budget.onFirstTry(Start);
+        budget.onFirstAttempt(Start);
         retries += budget.mayRetry(failed, true, Start) ? 1 : 0;
     }
     EXPECT_LE(retries, FirstTries / 10 + 10);
--- a/unittests/Edge/EndpointDirectoryTest.cpp
+++ b/unittests/Edge/EndpointDirectoryTest.cpp
@@ -43,8 +43,8 @@
         item.service = ServiceId("s");
         item.arrivedAt = now_;
         item.deadline = now_ + std::chrono::seconds(1);
-        const Placing placing = directory_.place(item, {}, tried, now_);
-        const auto *found = std::get_if<Placed>(&placing);
+        const PlacementResult placing = directory_.place(item, {}, tried, now_);
+        const auto *found = std::get_if<PlacementTarget>(&placing);
         return found == nullptr ? std::string() : found->endpoint.text();
     }
 
@@ -115,7 +115,7 @@
 {
     directory_.update(entry("a"), now_);
     directory_.update(entry("b"), now_);
-    directory_.onMissing(EndpointId("a"), now_);
+    directory_.onStaleEndpoint(EndpointId("a"), now_);
     for (int i = 0; i < 20; ++i) {
         EXPECT_EQ(placed(), "b");
     }
@@ -127,7 +127,7 @@
 {
     directory_.update(entry("a"), now_);
     directory_.update(entry("b"), now_);
-    directory_.onMissing(EndpointId("a"), now_);
+    directory_.onStaleEndpoint(EndpointId("a"), now_);
     directory_.update(entry("a", false, 2), now_);
     EXPECT_EQ(placed({EndpointId("b")}), "a");
 }
@@ -144,12 +144,12 @@
     item.request = RequestId("r");
     item.service = ServiceId("s");
     item.deadline = now_ + std::chrono::seconds(1);
-    const Placing placing = directory_.place(item, {}, {}, now_);
+    const PlacementResult placing = directory_.place(item, {}, {}, now_);
     const auto *verdict = std::get_if<Verdict>(&placing);
     ASSERT_NE(verdict, nullptr);
     EXPECT_EQ(verdict->reason, Reason::NoEndpoint);
     EXPECT_EQ(verdict->execution, Execution::NotRun);
-    EXPECT_TRUE(verdict->comeBackAt);
+    EXPECT_TRUE(verdict->retryAt);
 }
 
 TEST_F(Directory, EntryWhoseAddressCantBeReadNamesNoEndpoint)
--- a/unittests/Edge/PeerLinkTest.cpp
+++ b/unittests/Edge/PeerLinkTest.cpp
@@ -24,7 +24,7 @@
         : file_(std::tmpfile()),
           log_({"test", HostId("h"), DomainId("d"), Incarnation("self")}, file_),
           far_(io_, AnyPort), link_(io_, AnyPort, Incarnation("self"), DomainId("d"), log_,
-                                    {[](const TokenAsk &) { return uint64_t{0}; },
+                                    {[](const TokenRequest &) { return uint64_t{0}; },
                                      [](const WorkspaceId &) {
                                          return HeldTokens{5, 7, false};
                                      },
--- a/unittests/Ledger/ElapsedBoundTest.cpp
+++ b/unittests/Ledger/ElapsedBoundTest.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-WitnessedSpan livedOn(Millis span, Millis askedAfter = {})
+PeerClockReadings livedOn(Millis span, Millis askedAfter = {})
 {
     const Incarnation process("p");
     return {process, process, Millis(70), Millis(70) + span, askedAfter};
 }
 
-WitnessedSpan restarted(Millis span)
+PeerClockReadings restarted(Millis span)
 {
     return {Incarnation("p"), Incarnation("q"), Millis(70), Millis(70) + span, Millis(0)};
 }
@@ -22,7 +22,7 @@
 struct BoundCase
 {
     const char *name;
-    std::vector<WitnessedSpan> peers;
+    std::vector<PeerClockReadings> peers;
     std::optional<Millis> bound;
 };
 
--- a/unittests/Ledger/GrantHolderTest.cpp
+++ b/unittests/Ledger/GrantHolderTest.cpp
@@ -68,7 +68,7 @@
             apply(writer, append->record);
             return;
         }
-        const auto &ask = std::get<AskWindowAction>(action);
+        const auto &ask = std::get<RequestWindowAction>(action);
         if (silent_.contains(ask.witness)) {
             return;
         }
@@ -78,7 +78,7 @@
         if (const auto *total = std::get_if<uint64_t>(&outcome)) {
             holder_.onWindow(ask.grant, ask.witness, *total, now_);
         } else {
-            const bool final = !std::get<Verdict>(outcome).comeBackAt;
+            const bool final = !std::get<Verdict>(outcome).retryAt;
             holder_.onWindowRefused(ask.grant, ask.witness, final, now_);
         }
     }
@@ -86,7 +86,7 @@
     ReserveOutcome reserve(const std::string &id, uint64_t tokens)
     {
         ReserveOutcome outcome = tryReserve(id, tokens);
-        for (int round = 0; round < 5 && std::holds_alternative<ReserveLater>(outcome); ++round) {
+        for (int round = 0; round < 5 && std::holds_alternative<ReservePending>(outcome); ++round) {
             settleActions();
             outcome = tryReserve(id, tokens);
         }
@@ -172,13 +172,13 @@
     EXPECT_TRUE(std::holds_alternative<ReservationDraws>(reserve("r", 400)));
     const ReserveOutcome held = reserve("s", 100);
     EXPECT_EQ(refusalOf(held), Reason::BudgetUnreachable);
-    EXPECT_TRUE(std::get<Verdict>(held).comeBackAt.has_value());
+    EXPECT_TRUE(std::get<Verdict>(held).retryAt.has_value());
     apply("other", records::close("o", 600));
     holder_.settle(ReservationId("r"), 400, now_);
     now_ += 5s;
     const ReserveOutcome spent = reserve("t", 100);
     EXPECT_EQ(refusalOf(spent), Reason::BudgetSpent);
-    EXPECT_FALSE(std::get<Verdict>(spent).comeBackAt.has_value());
+    EXPECT_FALSE(std::get<Verdict>(spent).retryAt.has_value());
 }
 
 /// The budget is all given out and the log falls silent: a top-up may stand there
