--- a/unittests/Ledger/HomesTest.cpp
+++ b/unittests/Ledger/HomesTest.cpp
@@ -49,7 +49,7 @@
             holders_.push_back(
                     std::make_unique<TokenHolder>(Incarnation(fmt::format("h{}", i)), settings));
             holders_[i]->setBudgets({{W, Prepaid}}, now_);
-            holders_[i]->setHolders(Hosts);
+            holders_[i]->setHolderCount(Hosts);
             holders_[i]->setStoreReachable(true);
             if (homes) {
                 holders_[i]->setHomes(W, Domains, i < Domains);
@@ -134,11 +134,11 @@
                 holder->onRow(row, offset_, now_);
             }
         }
-        writer.onWritten();
-        writer.onPosition(offset_ + 1);
+        writer.onBatchWritten();
+        writer.onReadUpTo(offset_ + 1);
     }
 
-    std::vector<std::size_t> addressees(std::size_t from, const TokenAsk &ask)
+    std::vector<std::size_t> addressees(std::size_t from, const TokenRequest &ask)
     {
         std::vector<std::size_t> chosen;
         const bool asksHomes = homes_ && ask.need > 0;
@@ -154,12 +154,12 @@
 
     void ask(std::size_t from)
     {
-        for (const TokenAsk &ask : holders_[from]->asks(now_)) {
+        for (const TokenRequest &ask : holders_[from]->peerRequests(now_)) {
             for (const std::size_t to : addressees(from, ask)) {
-                const uint64_t moved = to == from ? 0 : holders_[to]->give(ask, now_);
+                const uint64_t moved = to == from ? 0 : holders_[to]->transferOut(ask, now_);
                 if (moved > 0) {
                     ++moves_;
-                    holders_[from]->take(W, moved, now_);
+                    holders_[from]->transferIn(W, moved, now_);
                 }
             }
         }
@@ -170,7 +170,7 @@
     {
         const uint64_t moved = homes_ ? holders_[from]->releaseLeftover(W, now_) : 0;
         if (moved > 0) {
-            holders_[from % Domains]->take(W, moved, now_);
+            holders_[from % Domains]->transferIn(W, moved, now_);
         }
     }
 
--- a/unittests/Ledger/LedgerFoldTest.cpp
+++ b/unittests/Ledger/LedgerFoldTest.cpp
@@ -11,7 +11,7 @@
 
 constexpr FoldOutcome Yes = FoldOutcome::Accepted;
 constexpr FoldOutcome No = FoldOutcome::Refused;
-constexpr FoldOutcome Twice = FoldOutcome::Doubled;
+constexpr FoldOutcome Twice = FoldOutcome::Duplicate;
 
 struct Step
 {
@@ -141,7 +141,7 @@
     int number = 0;
     for (const Step &step : GetParam().steps) {
         const FoldResult result = fold.apply(step.record, fold.nextOffset());
-        EXPECT_EQ(result.outcome, step.outcome) << "step " << number << ": " << result.why;
+        EXPECT_EQ(result.outcome, step.outcome) << "step " << number << ": " << result.reason;
         EXPECT_EQ(result.refundTokens, step.refund) << "step " << number;
         ++number;
     }
@@ -158,12 +158,12 @@
     fold.apply(from("a", 1, claim("g", "w", 90, "a", "b")), 1);
     fold.apply(from("b", 1, claim("h", "w", 30, "b", "a")), 2);
     const WorkspaceId workspace("w");
-    EXPECT_EQ(fold.budget(workspace)->unmet, 30U);
+    EXPECT_EQ(fold.budget(workspace)->unmetTokens, 30U);
     EXPECT_TRUE(fold.claimRefused(workspace, GrantId("h")));
     EXPECT_FALSE(fold.claimRefused(workspace, GrantId("g")));
     fold.apply(from("a", 2, giveBack("g", 50)), 3);
     fold.apply(from("b", 2, claim("i", "w", 30, "b", "a")), 4);
-    EXPECT_EQ(fold.budget(workspace)->unmet, 0U);
+    EXPECT_EQ(fold.budget(workspace)->unmetTokens, 0U);
 }
 
 TEST(LedgerFold, IndexesGrantsByHolderAndWitness)
--- a/unittests/Ledger/LedgerModelTest.cpp
+++ b/unittests/Ledger/LedgerModelTest.cpp
@@ -102,7 +102,7 @@
     LedgerFold doubled;
     for (const wire::Record &record : log) {
         const FoldResult result = doubled.apply(record, doubled.nextOffset());
-        if (result.outcome != FoldOutcome::Doubled) {
+        if (result.outcome != FoldOutcome::Duplicate) {
             once.push_back(record);
         }
     }
--- a/unittests/Ledger/PowerLossTest.cpp
+++ b/unittests/Ledger/PowerLossTest.cpp
@@ -67,19 +67,19 @@
             holders_.push_back(std::make_unique<TokenHolder>(processes_.back()));
             TokenHolder &holder = *holders_.back();
             holder.setBudgets({{W, prepaid_}}, now_);
-            holder.setHolders(Hosts);
+            holder.setHolderCount(Hosts);
             holder.setStoreReachable(true);
             for (std::size_t row = 0; row < log_.size(); ++row) {
                 holder.onRow(log_[row], row + 1, now_);
             }
-            holder.onPosition(log_.size() + 1);
+            holder.onReadUpTo(log_.size() + 1);
         }
     }
 
     void write(TokenHolder &writer)
     {
         append(writer.nextBatch(now_).value_or(std::vector<AllotmentRow>()));
-        writer.onWritten();
+        writer.onBatchWritten();
         readBack();
     }
 
@@ -96,7 +96,7 @@
     void readBack()
     {
         for (const auto &holder : holders_) {
-            holder->onPosition(log_.size() + 1);
+            holder->onReadUpTo(log_.size() + 1);
         }
     }
 
--- a/unittests/Ledger/TokenHolderFleetTest.cpp
+++ b/unittests/Ledger/TokenHolderFleetTest.cpp
@@ -62,7 +62,7 @@
                               false});
             TokenHolder &holder = *hosts_[i].holder;
             holder.setBudgets(budgets, now_);
-            holder.setHolders(static_cast<uint32_t>(hosts));
+            holder.setHolderCount(static_cast<uint32_t>(hosts));
             holder.setStoreReachable(true);
             for (std::size_t w = 0; w < Workspaces; ++w) {
                 const std::vector<std::size_t> &workspaceHomes = homes_[w];
@@ -203,7 +203,7 @@
         for (const Waiting &waiting : hosts_[host].waiting) {
             tokens += waiting.workspace == w ? waiting.tokens : 0;
         }
-        hosts_[host].holder->setShortOf(workspace(w), tokens);
+        hosts_[host].holder->setRequiredTokens(workspace(w), tokens);
     }
 
     void tick(std::size_t host)
@@ -229,7 +229,7 @@
         storeFreeAt_ = std::max(storeFreeAt_, now_) + AppendTime;
         at(storeFreeAt_,
            [this, rows = *rows] { log_.insert(log_.end(), rows.begin(), rows.end()); });
-        at(storeFreeAt_ + StoreAnswerTime, [this, host] { hosts_[host].holder->onWritten(); });
+        at(storeFreeAt_ + StoreAnswerTime, [this, host] { hosts_[host].holder->onBatchWritten(); });
         at(storeFreeAt_ + 2 * StoreAnswerTime, [this, host] {
             read(host);
             hosts_[host].appending = false;
@@ -243,7 +243,7 @@
         for (; reader.read < log_.size(); ++reader.read) {
             reader.holder->onRow(log_[reader.read], reader.read + 1, now_);
         }
-        reader.holder->onPosition(log_.size() + 1);
+        reader.holder->onReadUpTo(log_.size() + 1);
     }
 
     void readPeriodically(std::size_t host)
@@ -262,7 +262,7 @@
         return homes_[w].front();
     }
 
-    std::vector<std::size_t> addressees(std::size_t host, std::size_t w, const TokenAsk &ask)
+    std::vector<std::size_t> addressees(std::size_t host, std::size_t w, const TokenRequest &ask)
     {
         if (ask.need > 0 && ask.round == 0) {
             return {nearHome(host, w)};
@@ -279,7 +279,7 @@
 
     void ask(std::size_t host)
     {
-        for (const TokenAsk &ask : hosts_[host].holder->asks(now_)) {
+        for (const TokenRequest &ask : hosts_[host].holder->peerRequests(now_)) {
             std::size_t w = 0;
             while (workspace(w) != ask.workspace) {
                 ++w;
@@ -292,9 +292,9 @@
         }
     }
 
-    void give(std::size_t from, std::size_t to, const TokenAsk &ask)
+    void give(std::size_t from, std::size_t to, const TokenRequest &ask)
     {
-        const uint64_t tokens = hosts_[from].holder->give(ask, now_);
+        const uint64_t tokens = hosts_[from].holder->transferOut(ask, now_);
         if (tokens < ask.need) {
             write(from);
         }
@@ -305,7 +305,7 @@
     {
         if (tokens > 0) {
             at(now_ + OneWayDelay, [this, to, workspace, tokens] {
-                hosts_[to].holder->take(workspace, tokens, now_);
+                hosts_[to].holder->transferIn(workspace, tokens, now_);
                 serve(to);
             });
         }
--- a/unittests/Ledger/TokenHolderModelTest.cpp
+++ b/unittests/Ledger/TokenHolderModelTest.cpp
@@ -68,7 +68,7 @@
 {
     Ended ended;
     std::optional<Batch> last; ///< of the ended process, once it was looked up
-    std::map<std::size_t, WitnessedSpan> answers;
+    std::map<std::size_t, PeerClockReadings> answers;
     Millis largestByTimeOfDay{};    ///< of the same readings
     std::vector<AllotmentRow> rows; ///< to go with the next batch
     bool decided = false;
@@ -183,7 +183,7 @@
         TokenHolderSettings settings;
         settings.initialShare = 0.5;
         // Shorter than the longest outages of the model, so that holders go on beyond their rows.
-        settings.silence = std::chrono::milliseconds(2400);
+        settings.batchValidity = std::chrono::milliseconds(2400);
         settings.leftoverRetention = Interval::zero();
         return settings;
     }
@@ -207,7 +207,7 @@
             const Millis own = host.startedAtTimeOfDay - sealing.last->own.timeOfDay;
             return std::max({own, sealing.largestByTimeOfDay, Millis::zero()});
         }
-        std::vector<WitnessedSpan> spans;
+        std::vector<PeerClockReadings> spans;
         for (const auto &[peer, span] : sealing.answers) {
             spans.push_back(span);
         }
@@ -227,7 +227,7 @@
         host.incarnation = Incarnation("i" + std::to_string(++incarnations_));
         host.holder = std::make_unique<TokenHolder>(host.incarnation, settings());
         host.holder->setBudgets({{W, prepaid_}}, now_);
-        host.holder->setHolders(Hosts);
+        host.holder->setHolderCount(Hosts);
         host.holder->setStoreReachable(true);
         if (homes_) {
             // Hosts may disagree on who is a home: it must cost nothing but time.
@@ -273,7 +273,7 @@
         const Allotment last = lastRow(sealing.ended.process);
         for (AllotmentRow &row : sealing.rows) {
             if (leftOut_ == LeftOut::RowsFollowTheTime && row.allotment.tokens < last.tokens) {
-                row.allotment.tokens = std::min(last.tokens, last.usedAtMost);
+                row.allotment.tokens = std::min(last.tokens, last.maxUsed);
             }
         }
         sealing.decided = true;
@@ -336,9 +336,9 @@
                                          ? std::chrono::duration_cast<Millis>(now_ - host.startedAt)
                                          : message.askedAfterStart;
             const bool anyProcess = leftOut_ == LeftOut::PeersThatLivedOn;
-            const WitnessedSpan span{peer.process,
-                                     anyProcess ? peer.process : message.answeringProcess,
-                                     peer.clocks.sinceBoot, message.clocks.sinceBoot, asked};
+            const PeerClockReadings span{peer.process,
+                                         anyProcess ? peer.process : message.answeringProcess,
+                                         peer.clocks.sinceBoot, message.clocks.sinceBoot, asked};
             if (host.sealing->answers.emplace(peer.host, span).second) {
                 host.sealing->largestByTimeOfDay =
                         std::max(host.sealing->largestByTimeOfDay,
@@ -372,7 +372,7 @@
             host.holder->onRow(log_[host.read].row, host.read, now_);
             ++host.read;
         }
-        if (host.holder->onPosition(host.read)) {
+        if (host.holder->onReadUpTo(host.read)) {
             host.hasFlight = false;
         }
     }
@@ -475,7 +475,7 @@
             late_.push_back(host.flight);
         }
         if (host.flight.empty()) {
-            host.holder->onWritten();
+            host.holder->onBatchWritten();
             host.hasFlight = false;
         } else if (chance(0.7)) {
             readAll(host);
@@ -488,8 +488,8 @@
         if (other == index || !runs(hosts_[other])) {
             return;
         }
-        for (const TokenAsk &ask : hosts_[index].holder->asks(now_)) {
-            move(other, index, hosts_[other].holder->give(ask, now_));
+        for (const TokenRequest &ask : hosts_[index].holder->peerRequests(now_)) {
+            move(other, index, hosts_[other].holder->transferOut(ask, now_));
         }
         if (homes_ && homesRandom_() % 2 == 0) {
             hosts_[index].holder->noLongerShort(W);
@@ -534,7 +534,7 @@
         }
         const bool first = host.taken.emplace(move.id, true).second;
         if (first || leftOut_ == LeftOut::MoveOnce) {
-            host.holder->take(W, move.tokens, now_);
+            host.holder->transferIn(W, move.tokens, now_);
             host.got += move.tokens;
         }
     }
--- a/unittests/Ledger/TokenHolderTest.cpp
+++ b/unittests/Ledger/TokenHolderTest.cpp
@@ -34,7 +34,7 @@
             ++offset_;
         }
         for (TokenHolder *reader : readers) {
-            reader->onPosition(offset_);
+            reader->onReadUpTo(offset_);
         }
     }
 
@@ -49,7 +49,7 @@
     {
         for (TokenHolder *holder : {&a_, &b_}) {
             holder->setBudgets({{W, Prepaid}}, now_);
-            holder->setHolders(2);
+            holder->setHolderCount(2);
             holder->setStoreReachable(true);
         }
     }
@@ -59,7 +59,7 @@
         const auto rows = holder.nextBatch(now_);
         if (rows) {
             log_.write(*rows, {&a_, &b_});
-            holder.onWritten();
+            holder.onBatchWritten();
         }
     }
 
@@ -117,12 +117,12 @@
 TEST_F(Holding, AsksForAllRequestsThatWait)
 {
     ASSERT_FALSE(b_.reserve(W, 70, now_));
-    b_.setShortOf(W, 70 + 50);
-    const std::vector<TokenAsk> asks = b_.asks(now_);
+    b_.setRequiredTokens(W, 70 + 50);
+    const std::vector<TokenRequest> asks = b_.peerRequests(now_);
     ASSERT_EQ(asks.size(), 1U);
     EXPECT_EQ(asks[0].need, 120U);
-    b_.setShortOf(W, 0);
-    EXPECT_TRUE(b_.asks(now_ + std::chrono::seconds(1)).empty());
+    b_.setRequiredTokens(W, 0);
+    EXPECT_TRUE(b_.peerRequests(now_ + std::chrono::seconds(1)).empty());
 }
 
 TEST_F(Holding, MovedTokensLeaveTheirGiverFirst)
@@ -131,16 +131,16 @@
     round(b_);
     const uint64_t before = a_.usable(W) + b_.usable(W);
     ASSERT_FALSE(b_.reserve(W, 70, now_));
-    const std::vector<TokenAsk> asks = b_.asks(now_);
+    const std::vector<TokenRequest> asks = b_.peerRequests(now_);
     ASSERT_EQ(asks.size(), 1U);
     // The row lets it move a part of that at once, the rest when it says so.
-    uint64_t moved = a_.give(asks[0], now_);
+    uint64_t moved = a_.transferOut(asks[0], now_);
     EXPECT_LT(moved, asks[0].need);
     round(a_);
-    moved += a_.give(asks[0], now_);
+    moved += a_.transferOut(asks[0], now_);
     EXPECT_GE(moved, asks[0].need);
     EXPECT_EQ(a_.usable(W) + b_.usable(W) + moved, before);
-    b_.take(W, moved, now_);
+    b_.transferIn(W, moved, now_);
     EXPECT_EQ(a_.usable(W) + b_.usable(W), before);
 }
 
@@ -158,16 +158,16 @@
     const auto write = [&] {
         if (const auto rows = home.nextBatch(now)) {
             log.write(*rows, {&home});
-            home.onWritten();
+            home.onBatchWritten();
         }
     };
-    EXPECT_EQ(home.give({W, 200, 0, 0, 0}, now), 0U);
+    EXPECT_EQ(home.transferOut({W, 200, 0, 0, 0}, now), 0U);
     write();
     EXPECT_EQ(home.usable(W), 200U);
     for (int ask = 0; ask < 10; ++ask) {
         now += std::chrono::milliseconds(500);
         write();
-        home.give({W, 10, 0, 0, 0}, now);
+        home.transferOut({W, 10, 0, 0, 0}, now);
         write();
     }
     EXPECT_LE(home.usable(W), 10U);
@@ -209,7 +209,7 @@
     ASSERT_LT(seal[0].allotment.tokens, held);
     a_.setStoreReachable(false);
     EXPECT_FALSE(a_.reserve(W, held, now_));
-    now_ += testSettings().silence;
+    now_ += testSettings().batchValidity;
     EXPECT_TRUE(a_.reserve(W, held, now_));
 }
 
@@ -220,7 +220,7 @@
     round(a_);
     round(a_);
     a_.setStoreReachable(false);
-    now_ += testSettings().silence;
+    now_ += testSettings().batchValidity;
     const uint64_t held = a_.usable(W);
     ASSERT_TRUE(a_.reserve(W, held, now_));
     a_.settle(W, held, held, now_);
@@ -240,7 +240,7 @@
         ASSERT_TRUE(a_.reserve(W, i == 0 ? 0 : 20, now_));
         round(a_);
     }
-    const Interval spans[] = {JustNow, std::chrono::seconds(2), testSettings().silence};
+    const Interval spans[] = {JustNow, std::chrono::seconds(2), testSettings().batchValidity};
     uint64_t before = 0;
     for (const Interval span : spans) {
         const std::vector<AllotmentRow> seal = b_.sealRows(Incarnation("a"), span);
@@ -261,23 +261,23 @@
 {
     TokenHolder started(Incarnation("c"), testSettings());
     started.setBudgets({{W, Prepaid}}, now_);
-    started.setHolders(2);
+    started.setHolderCount(2);
     started.setStoreReachable(true);
     started.onRow({W, Incarnation("old"), {800, 800, 0}}, 0, now_);
-    started.onPosition(1);
+    started.onReadUpTo(1);
     ASSERT_FALSE(started.reserve(W, 10, now_));
     const auto rows = started.nextBatch(now_);
     ASSERT_TRUE(rows);
     ASSERT_EQ(rows->size(), 1U);
     started.onRow((*rows)[0], 1, now_);
-    started.onPosition(2);
+    started.onReadUpTo(2);
     ASSERT_TRUE(started.reserve(W, 10, now_));
     started.noLongerShort(W);
     const auto next = started.nextBatch(now_);
     ASSERT_TRUE(next);
     ASSERT_EQ(next->size(), 1U);
     // Room for the next request, beyond the one that was served.
-    EXPECT_GE((*next)[0].allotment.usedAtMost, 20U);
+    EXPECT_GE((*next)[0].allotment.maxUsed, 20U);
 }
 
 struct UseCase
@@ -318,7 +318,7 @@
     ASSERT_TRUE(rows);
     EXPECT_TRUE(rows->empty());
     EXPECT_FALSE(a_.nextBatch(now_));
-    a_.onWritten();
+    a_.onBatchWritten();
     EXPECT_FALSE(a_.batchInFlight());
 }
 
@@ -334,8 +334,8 @@
 {};
 
 const StateCase StateCases[] = {
-        {"FromTheStore", 500, true, BudgetState::Covered},
-        {"MoreThanWasPaidFor", 1001, true, BudgetState::Spent},
+        {"FromTheStore", 500, true, BudgetState::Available},
+        {"MoreThanWasPaidFor", 1001, true, BudgetState::Exhausted},
         {"MoreThanIsKnownToBePaidForWithoutStore", 1001, false, BudgetState::Unreachable},
         {"StoreAway", 500, false, BudgetState::Unreachable},
 };
@@ -345,7 +345,7 @@
     TokenHolder holder(Incarnation("a"), testSettings());
     holder.setBudgets({{W, Prepaid}}, Instant());
     holder.setStoreReachable(GetParam().reachable);
-    EXPECT_EQ(holder.state(W, GetParam().need), GetParam().state);
+    EXPECT_EQ(holder.budgetState(W, GetParam().need), GetParam().state);
 }
 
 INSTANTIATE_TEST_SUITE_P(Rows, HoldingState, testing::ValuesIn(StateCases),
--- a/unittests/Operate/ConfigCommandsTest.cpp
+++ b/unittests/Operate/ConfigCommandsTest.cpp
@@ -24,7 +24,7 @@
 uint64_t prepaidOf(OperatedFleet &fleet)
 {
     const ConfigView view = readConfig(fleet.log);
-    return prepaidTotal(*view.fold.workspace(WorkspaceId("w")));
+    return prepaidTotal(*view.fold.findWorkspace(WorkspaceId("w")));
 }
 
 CommandArguments hasty()
@@ -245,13 +245,13 @@
     OperatedFleet fleet;
     const nlohmann::json added = fleet.run({"key", "add", "w"}).json;
     const ConfigView view = readConfig(fleet.log);
-    const wire::WorkspaceConfig *owner = view.fold.workspaceOfKeyHash(added.at("sha256"));
+    const wire::WorkspaceConfig *owner = view.fold.findWorkspaceByKeyHash(added.at("sha256"));
     ASSERT_NE(owner, nullptr);
     EXPECT_EQ(owner->workspace(), "w");
     const std::string stored = view.fold.state().SerializeAsString();
     EXPECT_EQ(stored.find(added.at("key").get<std::string>()), std::string::npos);
     fleet.run({"key", "remove", "w", added.at("key")});
-    EXPECT_EQ(readConfig(fleet.log).fold.workspaceOfKeyHash(added.at("sha256")), nullptr);
+    EXPECT_EQ(readConfig(fleet.log).fold.findWorkspaceByKeyHash(added.at("sha256")), nullptr);
 }
 
 // Old records expire. A reader that folded only what is left would show budgets
--- a/unittests/PlatformAdapter/DialectTest.cpp
+++ b/unittests/PlatformAdapter/DialectTest.cpp
@@ -20,7 +20,7 @@
 TEST(Dialect, CallersTerms)
 {
     const platform::PlatformDialect dialect;
-    const CallerTerms terms = dialect.decodeCaller(
+    const RequestMetadata terms = dialect.decodeCaller(
             callerHead({{"request-id", "r"},
                         {"Authorization", "Token k"},
                         {"Deadline-Ms", "1500"},
@@ -29,13 +29,13 @@
                         {"Last-Event-Id", "12"}}));
     EXPECT_EQ(terms.id, RequestId("r"));
     EXPECT_EQ(terms.key, "k");
-    EXPECT_EQ(terms.patience, std::chrono::milliseconds(1500));
+    EXPECT_EQ(terms.timeout, std::chrono::milliseconds(1500));
     EXPECT_EQ(terms.promptTokens, 1460U);
-    EXPECT_EQ(terms.outputTokens, 80U);
+    EXPECT_EQ(terms.maxOutputTokens, 80U);
     ASSERT_EQ(terms.prompt.size(), 3U);
     EXPECT_EQ(terms.prompt[1].id, 0x91bd3f06U);
     EXPECT_EQ(terms.prompt[2].tokens, 250U);
-    EXPECT_EQ(terms.lastEvent, 12U);
+    EXPECT_EQ(terms.lastEventId, 12U);
 }
 
 // A caller gets 401 for its own key: schemes are the same in either case.
@@ -66,11 +66,11 @@
 TEST_P(DialectOddTerms, SayNothing)
 {
     const platform::PlatformDialect dialect;
-    const CallerTerms terms = dialect.decodeCaller(callerHead({GetParam().field}));
+    const RequestMetadata terms = dialect.decodeCaller(callerHead({GetParam().field}));
     EXPECT_FALSE(terms.countsTokens);
     EXPECT_TRUE(terms.key.empty());
     EXPECT_TRUE(terms.prompt.empty());
-    EXPECT_FALSE(terms.lastEvent);
+    EXPECT_FALSE(terms.lastEventId);
 }
 
 INSTANTIATE_TEST_SUITE_P(Rows, DialectOddTerms, testing::ValuesIn(OddCases),
@@ -110,7 +110,7 @@
                    {"Not-Executed", "1"},
                    {"Keep-Alive", "timeout=7, max=3"},
                    {"Content-Type", "text/event-stream; charset=utf-8"}};
-    const AnswerTerms terms = dialect.decodeAnswer(head);
+    const ResponseMetadata terms = dialect.decodeResponse(head);
     EXPECT_TRUE(terms.notExecuted);
     EXPECT_EQ(terms.echoedId, RequestId("r"));
     EXPECT_EQ(terms.keptOpenFor, std::chrono::seconds(7));
@@ -118,7 +118,7 @@
     EXPECT_FALSE(terms.signedByEndpoint);
     head.status = 421;
     head.fields.clear();
-    EXPECT_TRUE(dialect.decodeAnswer(head).notExecuted);
+    EXPECT_TRUE(dialect.decodeResponse(head).notExecuted);
 }
 
 TEST(Dialect, RefusalSaysWhenToComeBack)
--- a/unittests/PlatformAdapter/RowsTest.cpp
+++ b/unittests/PlatformAdapter/RowsTest.cpp
@@ -28,23 +28,23 @@
 {
     const ServingConfigPtr config = platform::decodeConfig(GoodConfig);
     EXPECT_EQ(config->version, 7U);
-    const Route *route = config->route("h.EXAMPLE:80", "/a/x?y=/b/");
+    const Route *route = config->findRoute("h.EXAMPLE:80", "/a/x?y=/b/");
     ASSERT_NE(route, nullptr);
     EXPECT_EQ(route->name, "r1");
     EXPECT_EQ(route->kind, RouteKind::Stream);
     EXPECT_EQ(route->services.size(), 2U);
     EXPECT_EQ(route->timeout, std::chrono::seconds(5));
     EXPECT_TRUE(route->resumable);
-    EXPECT_TRUE(route->needsKey);
-    EXPECT_EQ(config->route("h.example", "/a/b/c")->name, "r2");
-    EXPECT_EQ(config->route("h.example", "/ab/c"), nullptr);
-    EXPECT_EQ(config->route("other", "/a/b/c"), nullptr);
-    EXPECT_EQ(config->service(ServiceId("s1"))->tokensPerEvent, 4U);
-    EXPECT_FALSE(config->service(ServiceId("s2"))->engine);
-    ASSERT_NE(config->workspaceOfKey("k2"), nullptr);
-    EXPECT_EQ(config->workspaceOfKey("k2")->prepaidTokens, 99U);
-    EXPECT_EQ(config->workspaceOfKey("k3"), nullptr);
-    EXPECT_EQ(config->limits.bodyBytes, 200U);
+    EXPECT_TRUE(route->requiresApiKey);
+    EXPECT_EQ(config->findRoute("h.example", "/a/b/c")->name, "r2");
+    EXPECT_EQ(config->findRoute("h.example", "/ab/c"), nullptr);
+    EXPECT_EQ(config->findRoute("other", "/a/b/c"), nullptr);
+    EXPECT_EQ(config->findService(ServiceId("s1"))->tokensPerEvent, 4U);
+    EXPECT_FALSE(config->findService(ServiceId("s2"))->isModelEngine);
+    ASSERT_NE(config->findWorkspaceByKey("k2"), nullptr);
+    EXPECT_EQ(config->findWorkspaceByKey("k2")->prepaidTokens, 99U);
+    EXPECT_EQ(config->findWorkspaceByKey("k3"), nullptr);
+    EXPECT_EQ(config->limits.maxBodyBytes, 200U);
 }
 
 // Callers of a deployment without workspaces have no keys to send, and would all get 401.
@@ -53,8 +53,8 @@
     const ServingConfigPtr config = platform::decodeConfig(
             R"({"version":7,"backends":[{"name":"s"}],"routes":[{"name":"r","host":"h",)"
             R"("path-prefix":"/","type":"idempotent","backend":"s"}]})");
-    ASSERT_NE(config->route("h", "/a"), nullptr);
-    EXPECT_FALSE(config->route("h", "/a")->needsKey);
+    ASSERT_NE(config->findRoute("h", "/a"), nullptr);
+    EXPECT_FALSE(config->findRoute("h", "/a")->requiresApiKey);
 }
 
 struct BadRow
--- a/unittests/Proxy/CallerConnectionTest.cpp
+++ b/unittests/Proxy/CallerConnectionTest.cpp
@@ -26,7 +26,7 @@
 struct CloseCase
 {
     const char *name;
-    void (*close)(ProxyWorld &world);
+    void (*close)(ProxyTestHarness &world);
     const char *why;
 };
 
@@ -34,17 +34,19 @@
 {};
 
 const CloseCase CloseCases[] = {
-        {"CallerLeaves", [](ProxyWorld &world) { world.hangUp(); }, "\"why\":\"peer_closed\""},
-        {"ConnectionIsReset", [](ProxyWorld &world) { world.reset(); }, "\"why\":\"read_failed\""},
-        {"StopIsForced", [](ProxyWorld &world) { world.connection().shutDown(); },
+        {"CallerLeaves", [](ProxyTestHarness &world) { world.hangUp(); },
+         "\"why\":\"peer_closed\""},
+        {"ConnectionIsReset", [](ProxyTestHarness &world) { world.reset(); },
+         "\"why\":\"read_failed\""},
+        {"StopIsForced", [](ProxyTestHarness &world) { world.connection().forceClose(); },
          "\"why\":\"stop_forced\""},
 };
 
 // A request has no answer, and no line says which side closed its connection.
 TEST_P(CallerConnectionClose, IsLoggedWithItsReason)
 {
-    ProxyWorld world({{{"", Afterwards::Hang}}});
-    world.send(ProxyWorld::request("/once/a", "r"));
+    ProxyTestHarness world({{{"", Afterwards::Hang}}});
+    world.send(ProxyTestHarness::request("/once/a", "r"));
     ASSERT_TRUE(world.waitUntil([&world] { return world.endpoints[0]->received().size() == 1; }));
     GetParam().close(world);
     EXPECT_TRUE(world.waitUntil([&world] { return world.endpoints[0]->closedByPeer() == 1; }));
@@ -81,12 +83,12 @@
 // A request that outlasts the grace of a stop ends with a closed connection and no answer.
 TEST_P(CallerConnectionCutOff, CallerIsTold)
 {
-    ProxyWorld world({GetParam().replies});
-    world.send(ProxyWorld::request(GetParam().path, "r"));
+    ProxyTestHarness world({GetParam().replies});
+    world.send(ProxyTestHarness::request(GetParam().path, "r"));
     ASSERT_TRUE(world.waitUntil([&world] { return world.endpoints[0]->received().size() == 1; }));
     ASSERT_TRUE(world.waitFor(GetParam().before));
     world.stopping = true;
-    world.connection().cutOff();
+    world.connection().stop();
     EXPECT_TRUE(world.waitFor(GetParam().told)) << world.got();
     EXPECT_TRUE(world.waitForClose());
     EXPECT_EQ(world.got().find(GetParam().untold), std::string::npos) << world.got();
@@ -101,8 +103,8 @@
 {
     ProxyWorldSettings settings;
     settings.idleTimeout = std::chrono::milliseconds(1);
-    ProxyWorld world({{{plain("good")}}}, settings);
-    world.send(ProxyWorld::request("/once/a", "r"));
+    ProxyTestHarness world({{{plain("good")}}}, settings);
+    world.send(ProxyTestHarness::request("/once/a", "r"));
     std::this_thread::sleep_for(2 * settings.idleTimeout);
     EXPECT_TRUE(world.waitFor("good")) << world.got();
 }
@@ -110,10 +112,10 @@
 // A sound request gets a 400, since its bytes came together with the answer to the one before.
 TEST(CallerConnection, RequestReadTogetherWithTheAnswerBeforeIsServed)
 {
-    ProxyWorld world({{{plain("first")}, {plain("second")}}});
-    world.send(ProxyWorld::request("/get/a", "r1"));
+    ProxyTestHarness world({{{plain("first")}, {plain("second")}}});
+    world.send(ProxyTestHarness::request("/get/a", "r1"));
     ASSERT_TRUE(world.waitUntil([&world] { return world.endpoints[0]->received().size() == 1; }));
-    world.send(ProxyWorld::request("/get/b", "r2"));
+    world.send(ProxyTestHarness::request("/get/b", "r2"));
     EXPECT_TRUE(world.waitFor("second")) << world.got();
     EXPECT_EQ(world.got().find("400"), std::string::npos) << world.got();
 }
@@ -124,8 +126,8 @@
     ProxyWorldSettings settings;
     settings.isCallerSlow = true;
     const std::string body(200'000, 'x');
-    ProxyWorld world({{{plain(body + "end")}}}, settings);
-    world.send(ProxyWorld::request("/get/a", "r"));
+    ProxyTestHarness world({{{plain(body + "end")}}}, settings);
+    world.send(ProxyTestHarness::request("/get/a", "r"));
     ASSERT_TRUE(world.waitUntil([&world] { return world.desk.settled == 1; }));
     world.stopping = true;
     world.connection().drain();
@@ -138,7 +140,7 @@
 struct GoneCase
 {
     const char *name;
-    void (*leave)(ProxyWorld &world);
+    void (*leave)(ProxyTestHarness &world);
 };
 
 class CallerGoneUnread : public testing::TestWithParam<GoneCase>
@@ -146,11 +148,11 @@
 
 const GoneCase GoneCases[] = {
         {"Closed",
-         [](ProxyWorld &world) {
+         [](ProxyTestHarness &world) {
              world.hangUp();
          }},
         {"Reset",
-         [](ProxyWorld &world) {
+         [](ProxyTestHarness &world) {
              world.reset();
          }},
 };
@@ -158,10 +160,10 @@
 // A request is passed on though its caller's connection has ended already.
 TEST_P(CallerGoneUnread, RequestIsNotPassedOn)
 {
-    ProxyWorld world({{{plain("first")}, {plain("second")}}});
-    world.send(ProxyWorld::request("/get/a", "r1"));
+    ProxyTestHarness world({{{plain("first")}, {plain("second")}}});
+    world.send(ProxyTestHarness::request("/get/a", "r1"));
     ASSERT_TRUE(world.waitFor("first"));
-    world.send(ProxyWorld::request("/get/b", "r2"));
+    world.send(ProxyTestHarness::request("/get/b", "r2"));
     GetParam().leave(world);
     for (int i = 0; i < 20; ++i) {
         world.io.restart();
@@ -178,10 +180,11 @@
 // An endpoint that is silent is kept until the deadline if the one before broke off.
 TEST(ExchangeSilence, IsWatchedAfterABreak)
 {
-    ProxyWorld world({{{"", Afterwards::Close}}, {{"", Afterwards::Hang}}, {{plain("good")}}});
-    world.config->routes[0].mostEndpoints = 3;
-    world.config->routes[0].objective = std::chrono::milliseconds(100);
-    world.send(ProxyWorld::request("/get/a", "r"));
+    ProxyTestHarness world(
+            {{{"", Afterwards::Close}}, {{"", Afterwards::Hang}}, {{plain("good")}}});
+    world.config->routes[0].maxAttempts = 3;
+    world.config->routes[0].latencyTarget = std::chrono::milliseconds(100);
+    world.send(ProxyTestHarness::request("/get/a", "r"));
     EXPECT_TRUE(world.waitFor("good")) << world.got();
 }
 
@@ -209,9 +212,9 @@
 {
     ProxyWorldSettings settings;
     settings.idleTimeout = GetParam().idleTimeout;
-    ProxyWorld world({{{plain("good")}}}, settings);
+    ProxyTestHarness world({{{plain("good")}}}, settings);
     world.stopping = GetParam().stopping;
-    world.send(ProxyWorld::request("/get/a", "r"));
+    world.send(ProxyTestHarness::request("/get/a", "r"));
     EXPECT_TRUE(world.waitFor("good"));
     EXPECT_NE(world.got().find(GetParam().said), std::string::npos) << world.got();
     EXPECT_EQ(world.got().find(GetParam().unsaid), std::string::npos) << world.got();
--- a/unittests/Proxy/ExchangeTest.cpp
+++ b/unittests/Proxy/ExchangeTest.cpp
@@ -324,8 +324,8 @@
 TEST_P(ExchangeAnswer, IsWhatTheCallerGets)
 {
     const AnswerCase &row = GetParam();
-    ProxyWorld world(row.endpoints);
-    world.send(ProxyWorld::request(row.path, "r1"));
+    ProxyTestHarness world(row.endpoints);
+    world.send(ProxyTestHarness::request(row.path, "r1"));
     EXPECT_TRUE(world.waitFor(row.expected)) << world.got();
     if (row.closes) {
         EXPECT_TRUE(world.waitForClose()) << world.got();
@@ -370,13 +370,14 @@
          "HTTP/1.1 401"},
         {"WithoutId", "GET /get/a HTTP/1.1\r\nHost: h.example\r\nAuthorization: Token key\r\n\r\n",
          "HTTP/1.1 400"},
-        {"BudgetSpent", ProxyWorld::request("/get/a", "r", "Token-Count: 1\r\n"), "HTTP/1.1 402"},
+        {"BudgetSpent", ProxyTestHarness::request("/get/a", "r", "Token-Count: 1\r\n"),
+         "HTTP/1.1 402"},
         {"Malformed", "POST / HTTP/1.1\r\nContent-Length: x\r\n\r\n", "HTTP/1.1 400"},
 };
 
 TEST_P(ExchangeRefusal, ReachesNoEndpoint)
 {
-    ProxyWorld world({{{plain("bad")}}});
+    ProxyTestHarness world({{{plain("bad")}}});
     world.desk.usable = 10;
     world.send(GetParam().request);
     EXPECT_TRUE(world.waitFor(GetParam().expected)) << world.got();
@@ -388,7 +389,8 @@
 
 std::string largeRequest()
 {
-    return ProxyWorld::request("/get/a", "r", "X-Padding: " + std::string(20'000, 'x') + "\r\n");
+    return ProxyTestHarness::request("/get/a", "r",
+                                     "X-Padding: " + std::string(20'000, 'x') + "\r\n");
 }
 
 struct StaleConfigCase
@@ -402,20 +404,20 @@
 {};
 
 const StaleConfigCase StaleConfigCases[] = {
-        {"NoneKnown", false, ProxyWorld::request("/get/a", "r")},
+        {"NoneKnown", false, ProxyTestHarness::request("/get/a", "r")},
         {"NoneKnownAndOverTheDefaultLimits", false, largeRequest()},
         {"OverItsLimits", true, largeRequest()},
-        {"RouteItLacks", true, ProxyWorld::request("/added/a", "r")},
+        {"RouteItLacks", true, ProxyTestHarness::request("/added/a", "r")},
         {"KeyItLacks", true,
          "GET /get/a HTTP/1.1\r\nHost: h.example\r\nRequest-Id: r\r\n"
          "Authorization: Token added\r\n\r\n"},
-        {"BudgetItKnows", true, ProxyWorld::request("/get/a", "r")},
+        {"BudgetItKnows", true, ProxyTestHarness::request("/get/a", "r")},
 };
 
 // A newer configuration that can't be read now may allow what the known one doesn't.
 TEST_P(ExchangeWithStaleConfig, RefusesOnlyForNow)
 {
-    ProxyWorld world({{{plain("bad")}}});
+    ProxyTestHarness world({{{plain("bad")}}});
     world.configIsCurrent = false;
     world.desk.usable = 10;
     if (!GetParam().isKnown) {
@@ -433,12 +435,12 @@
 // A connection that was open when the limits were raised turns away what they allow.
 TEST(Exchange, RequestWithinLimitsThatWereRaisedMeanwhileIsServed)
 {
-    ProxyWorld world({{{plain("good")}}});
+    ProxyTestHarness world({{{plain("good")}}});
     const auto raised = std::make_shared<ServingConfig>(*world.config);
-    raised->limits.headerBytes = 2 * world.config->limits.headerBytes;
-    const std::string padding(world.config->limits.headerBytes, 'x');
+    raised->limits.maxHeaderBytes = 2 * world.config->limits.maxHeaderBytes;
+    const std::string padding(world.config->limits.maxHeaderBytes, 'x');
     world.config = raised;
-    world.send(ProxyWorld::request("/get/a", "r", "X-Padding: " + padding + "\r\n"));
+    world.send(ProxyTestHarness::request("/get/a", "r", "X-Padding: " + padding + "\r\n"));
     EXPECT_TRUE(world.waitFor("good")) << world.got();
 }
 
@@ -446,8 +448,8 @@
 // endpoint still works; the endpoint's connection is closed, by which it notices.
 TEST(Exchange, CallerThatLeavesEndsTheEndpointsWork)
 {
-    ProxyWorld world({{{"", Afterwards::Hang}}});
-    world.send(ProxyWorld::request("/once/a", "r"));
+    ProxyTestHarness world({{{"", Afterwards::Hang}}});
+    world.send(ProxyTestHarness::request("/once/a", "r"));
     EXPECT_TRUE(world.waitUntil([&world] { return world.endpoints[0]->received().size() == 1; }));
     world.hangUp();
     EXPECT_TRUE(world.waitUntil([&world] { return world.endpoints[0]->closedByPeer() == 1; }));
@@ -493,10 +495,10 @@
 // A workspace pays for a request of which no byte left.
 TEST_P(UnconnectedExchange, IsChargedNothing)
 {
-    ProxyWorld world({{{plain("x")}}});
+    ProxyTestHarness world({{{plain("x")}}});
     const FullQueue queue(world.io);
     world.placement.endpoints[0].address = queue.address();
-    world.send(ProxyWorld::request(GetParam().path, "r"));
+    world.send(ProxyTestHarness::request(GetParam().path, "r"));
     EXPECT_TRUE(world.waitUntil([&world] { return world.placement.sent == 1; }));
     if (GetParam().leaves) {
         world.hangUp();
@@ -512,10 +514,10 @@
 
 TEST(Exchange, UnreachableEndpointIsntASending)
 {
-    ProxyWorld world({{}, {{plain("good")}}});
+    ProxyTestHarness world({{}, {{plain("good")}}});
     world.endpoints[0]->stopListening();
     world.placement.repeatsLeft = 0;
-    world.send(ProxyWorld::request("/once/a", "r"));
+    world.send(ProxyTestHarness::request("/once/a", "r"));
     EXPECT_TRUE(world.waitFor("good"));
     EXPECT_EQ(world.placement.missing, std::vector<EndpointId>{EndpointId("e0")});
 }
@@ -525,11 +527,11 @@
 // each would be taken for dead.
 TEST(Exchange, OwnFullLinkIsntTakenForDeadEndpoints)
 {
-    ProxyWorld world({{}, {{plain("good")}}});
+    ProxyTestHarness world({{}, {{plain("good")}}});
     world.endpoints[0]->stopListening();
     world.link.setBytesPerSecond(1'000);
     world.link.onReceived(1'000'000, std::chrono::steady_clock::now());
-    world.send(ProxyWorld::request("/once/a", "r"));
+    world.send(ProxyTestHarness::request("/once/a", "r"));
     EXPECT_TRUE(world.waitFor("HTTP/1.1 429"));
     EXPECT_TRUE(world.placement.missing.empty());
     EXPECT_TRUE(world.endpoints[1]->received().empty());
@@ -538,11 +540,11 @@
 // A caller waits until its deadline while all endpoints of a service are gone.
 TEST(Exchange, GivesUpAfterThreeUnreachableEndpoints)
 {
-    ProxyWorld world({{}, {}, {}, {{plain("good")}}});
+    ProxyTestHarness world({{}, {}, {}, {{plain("good")}}});
     for (int i = 0; i < 3; ++i) {
         world.endpoints[static_cast<std::size_t>(i)]->stopListening();
     }
-    world.send(ProxyWorld::request("/once/a", "r"));
+    world.send(ProxyTestHarness::request("/once/a", "r"));
     EXPECT_TRUE(world.waitFor("HTTP/1.1 503"));
     EXPECT_EQ(world.placement.missing.size(), 3U);
     EXPECT_TRUE(world.endpoints[3]->received().empty());
@@ -550,9 +552,9 @@
 
 TEST(Exchange, WithoutRepeatsLeftAFailureIsPassedOn)
 {
-    ProxyWorld world({{{signedStatus(500)}}, {{plain("good")}}});
+    ProxyTestHarness world({{{signedStatus(500)}}, {{plain("good")}}});
     world.placement.repeatsLeft = 0;
-    world.send(ProxyWorld::request("/get/a", "r"));
+    world.send(ProxyTestHarness::request("/get/a", "r"));
     EXPECT_TRUE(world.waitFor("HTTP/1.1 500"));
 }
 
@@ -560,8 +562,8 @@
 // event; an endpoint that isn't told begins from the start.
 TEST(Exchange, CallersOwnPositionIsForwarded)
 {
-    ProxyWorld world({{{streamHead() + chunk(event(8)) + "0\r\n\r\n"}}});
-    world.send(ProxyWorld::request("/resume/a", "r", "Last-Event-Id: 7\r\n"));
+    ProxyTestHarness world({{{streamHead() + chunk(event(8)) + "0\r\n\r\n"}}});
+    world.send(ProxyTestHarness::request("/resume/a", "r", "Last-Event-Id: 7\r\n"));
     EXPECT_TRUE(world.waitFor("id: 8"));
     const HttpFields &fields = world.endpoints[0]->received()[0].head.fields;
     ASSERT_NE(findField(fields, "Last-Event-Id"), nullptr);
@@ -570,9 +572,9 @@
 
 TEST(Exchange, EndpointIsToldWhatTheCallerMayNotSay)
 {
-    ProxyWorld world({{{plain("good")}}});
-    world.send(ProxyWorld::request("/once/a?q=1", "r",
-                                   "Tenant: other\r\nKv-From: x\r\nX-Mine: 1\r\n"));
+    ProxyTestHarness world({{{plain("good")}}});
+    world.send(ProxyTestHarness::request("/once/a?q=1", "r",
+                                         "Tenant: other\r\nKv-From: x\r\nX-Mine: 1\r\n"));
     EXPECT_TRUE(world.waitFor("good"));
     const CallerRequest &received = world.endpoints[0]->received()[0];
     EXPECT_EQ(received.head.target, "/once/a?q=1");
@@ -587,8 +589,9 @@
 
 TEST(CallerConnection, ServesPipelinedRequestsInTheirOrder)
 {
-    ProxyWorld world({{{plain("first")}, {plain("second")}}});
-    world.send(ProxyWorld::request("/get/a", "r1") + ProxyWorld::request("/get/b", "r2"));
+    ProxyTestHarness world({{{plain("first")}, {plain("second")}}});
+    world.send(ProxyTestHarness::request("/get/a", "r1")
+               + ProxyTestHarness::request("/get/b", "r2"));
     EXPECT_TRUE(world.waitFor("second"));
     EXPECT_LT(world.got().find("first"), world.got().find("second"));
 }
@@ -597,10 +600,10 @@
 // answer; the connection it came on isn't used again.
 TEST(CallerConnection, EndpointsSurplusBytesEndItsConnection)
 {
-    ProxyWorld world({{{plain("first") + plain("extra")}, {plain("second")}}});
-    world.send(ProxyWorld::request("/get/a", "r1"));
+    ProxyTestHarness world({{{plain("first") + plain("extra")}, {plain("second")}}});
+    world.send(ProxyTestHarness::request("/get/a", "r1"));
     EXPECT_TRUE(world.waitFor("first"));
-    world.send(ProxyWorld::request("/get/b", "r2"));
+    world.send(ProxyTestHarness::request("/get/b", "r2"));
     EXPECT_TRUE(world.waitFor("second"));
     EXPECT_EQ(world.got().find("extra"), std::string::npos);
 }
@@ -609,9 +612,9 @@
 // the connection closes.
 TEST(CallerConnection, StopEndsTheConnectionBehindTheAnswer)
 {
-    ProxyWorld world({{{plain("good")}}});
+    ProxyTestHarness world({{{plain("good")}}});
     world.stopping = true;
-    world.send(ProxyWorld::request("/get/a", "r1"));
+    world.send(ProxyTestHarness::request("/get/a", "r1"));
     EXPECT_TRUE(world.waitFor("good"));
     EXPECT_NE(world.got().find("Connection: close"), std::string::npos);
     EXPECT_TRUE(world.waitForClose());
--- a/unittests/Proxy/HttpReaderTest.cpp
+++ b/unittests/Proxy/HttpReaderTest.cpp
@@ -135,7 +135,7 @@
     reader.feed(GetParam().bytes);
     reader.feedEnd();
     EXPECT_EQ(reader.done(), GetParam().whole);
-    EXPECT_EQ(reader.fault() == HttpFault::CutOff, !GetParam().whole);
+    EXPECT_EQ(reader.fault() == HttpFault::Truncated, !GetParam().whole);
 }
 
 INSTANTIATE_TEST_SUITE_P(Rows, HttpAnswerClosed, testing::ValuesIn(ClosedCases),
--- a/unittests/Proxy/ProxyWorld.cpp
+++ b/unittests/Proxy/ProxyTestHarness.cpp
@@ -25,7 +25,7 @@
     auto config = std::make_shared<ServingConfig>();
     config->version = 1;
     config->limits.idleTimeout = idleTimeout;
-    config->limits.headerBytes = 2 * 1024;
+    config->limits.maxHeaderBytes = 2 * 1024;
     const auto route = [](const char *name, RouteKind kind) {
         Route made;
         made.name = name;
@@ -35,9 +35,9 @@
         made.services = {{ServiceId("s"), 1}};
         made.timeout = std::chrono::seconds(5);
         // Long, so that no verdict hangs on how fast the test's machine is.
-        made.objective = std::chrono::seconds(2);
-        made.pauseObjective = std::chrono::seconds(2);
-        made.mostEndpoints = 2;
+        made.latencyTarget = std::chrono::seconds(2);
+        made.eventGapTarget = std::chrono::seconds(2);
+        made.maxAttempts = 2;
         return made;
     };
     config->routes = {route("get", RouteKind::Idempotent), route("once", RouteKind::NonIdempotent),
@@ -45,18 +45,18 @@
                       route("short", RouteKind::NonIdempotent)};
     config->routes[3].resumable = true;
     config->routes[4].timeout = std::chrono::milliseconds(50);
-    ServiceTerms service;
+    ServiceSpec service;
     service.name = ServiceId("s");
-    service.engine = true;
+    service.isModelEngine = true;
     service.tokensPerEvent = 4;
     config->services = {service};
-    WorkspaceTerms workspace;
+    WorkspaceSpec workspace;
     workspace.name = WorkspaceId("w");
     workspace.keys = {"key"};
-    workspace.prepaid = true;
+    workspace.isPrepaid = true;
     workspace.prepaidTokens = 1'000'000;
     config->workspaces = {workspace};
-    config->index();
+    config->buildIndexes();
     return config;
 }
 
@@ -136,10 +136,10 @@
     }
 }
 
-Placing OrderedPlacement::place(const WorkItem &, const std::vector<PromptPart> &,
-                                const std::vector<EndpointId> &tried, Instant now)
+PlacementResult OrderedPlacement::place(const WorkItem &, const std::vector<PromptPart> &,
+                                        const std::vector<EndpointId> &tried, Instant now)
 {
-    for (const Placed &placed : endpoints) {
+    for (const PlacementTarget &placed : endpoints) {
         if (std::find(tried.begin(), tried.end(), placed.endpoint) == tried.end()) {
             return placed;
         }
@@ -147,8 +147,8 @@
     return Verdict{Execution::NotRun, Reason::NoEndpoint, "none is left", now};
 }
 
-TokenTicket CountingDesk::reserve(const WorkspaceId &, uint64_t tokens, Instant now,
-                                  std::function<void(std::optional<Verdict>)> handler)
+TokenRequestId CountingDesk::reserve(const WorkspaceId &, uint64_t tokens, Instant now,
+                                     std::function<void(std::optional<Verdict>)> handler)
 {
     if (tokens > usable) {
         handler(Verdict{Execution::NotRun, Reason::BudgetSpent, "spent", now});
@@ -168,7 +168,8 @@
     ++settled;
 }
 
-ProxyWorld::ProxyWorld(std::vector<std::vector<Reply>> scripts, ProxyWorldSettings settings)
+ProxyTestHarness::ProxyTestHarness(std::vector<std::vector<Reply>> scripts,
+                                   ProxyWorldSettings settings)
     : config(makeConfig(settings.idleTimeout)),
       chart_(Statechart::parse(readShareFile("statecharts/exchange.json"))),
       logFile_(std::tmpfile()),
@@ -213,9 +214,9 @@
     }
 }
 
-ProxyWorld::~ProxyWorld()
+ProxyTestHarness::~ProxyTestHarness()
 {
-    connection_->shutDown();
+    connection_->forceClose();
     error_code ignored;
     caller_.close(ignored);
     endpoints.clear();
@@ -224,12 +225,12 @@
     std::fclose(logFile_);
 }
 
-void ProxyWorld::send(const std::string &bytes)
+void ProxyTestHarness::send(const std::string &bytes)
 {
     boost::asio::write(caller_, boost::asio::buffer(bytes));
 }
 
-void ProxyWorld::readAsCaller()
+void ProxyTestHarness::readAsCaller()
 {
     caller_.async_read_some(boost::asio::buffer(buffer_),
                             [this](const error_code &error, std::size_t bytes) {
@@ -242,7 +243,7 @@
                             });
 }
 
-bool ProxyWorld::waitUntil(const std::function<bool()> &condition)
+bool ProxyTestHarness::waitUntil(const std::function<bool()> &condition)
 {
     // Ends a run that has failed already; no verdict hangs on it.
     const Instant limit = std::chrono::steady_clock::now() + std::chrono::seconds(20);
@@ -256,32 +257,32 @@
     return true;
 }
 
-bool ProxyWorld::waitFor(const std::string &text)
+bool ProxyTestHarness::waitFor(const std::string &text)
 {
     waitUntil([this, &text] { return closed_ || got_.find(text) != std::string::npos; });
     return got_.find(text) != std::string::npos;
 }
 
-bool ProxyWorld::waitForClose()
+bool ProxyTestHarness::waitForClose()
 {
     return waitUntil([this] { return closed_; });
 }
 
-void ProxyWorld::hangUp()
+void ProxyTestHarness::hangUp()
 {
     error_code ignored;
     caller_.close(ignored);
     closed_ = true;
 }
 
-void ProxyWorld::reset()
+void ProxyTestHarness::reset()
 {
     error_code ignored;
     caller_.set_option(boost::asio::socket_base::linger(true, 0), ignored);
     hangUp();
 }
 
-std::size_t ProxyWorld::logged(const std::string &text) const
+std::size_t ProxyTestHarness::logged(const std::string &text) const
 {
     std::size_t count = 0;
     std::rewind(logFile_);
@@ -293,8 +294,8 @@
     return count;
 }
 
-std::string ProxyWorld::request(const std::string &path, const std::string &id,
-                                const std::string &extra)
+std::string ProxyTestHarness::request(const std::string &path, const std::string &id,
+                                      const std::string &extra)
 {
     return fmt::format("POST {} HTTP/1.1\r\nHost: h.example\r\nRequest-Id: {}\r\n"
                        "Deadline-Ms: 4000\r\nAuthorization: Token key\r\nToken-Count: 100,40\r\n"
--- a/unittests/Proxy/ProxyWorld.h
+++ b/unittests/Proxy/ProxyTestHarness.h
@@ -1,5 +1,5 @@
-#ifndef SEQUOIAGATE_UNITTESTS_PROXY_PROXYWORLD_H
-#define SEQUOIAGATE_UNITTESTS_PROXY_PROXYWORLD_H
+#ifndef SEQUOIAGATE_UNITTESTS_PROXY_PROXYTESTHARNESS_H
+#define SEQUOIAGATE_UNITTESTS_PROXY_PROXYTESTHARNESS_H
 
 /// One caller's connection and scripted endpoints on loopback, in one event loop: what the
 /// caller sees and what the endpoints were sent is all that the tests look at.
@@ -63,16 +63,19 @@
 class OrderedPlacement : public Placement
 {
 public:
-    Placing place(const WorkItem &item, const std::vector<PromptPart> &prompt,
-                  const std::vector<EndpointId> &tried, Instant now) override;
+    PlacementResult place(const WorkItem &item, const std::vector<PromptPart> &prompt,
+                          const std::vector<EndpointId> &tried, Instant now) override;
     void onSent(const EndpointId &, const WorkItem &, Instant) override { ++sent; }
     void onFirstToken(const EndpointId &, const RequestId &, Instant) override {}
-    void onEnd(const TryResult &, Instant) override { ++ended; }
-    void onMissing(const EndpointId &endpoint, Instant) override { missing.push_back(endpoint); }
-    bool mayRepeat(const ServiceId &, Instant) override { return repeatsLeft-- > 0; }
+    void onAttemptEnd(const AttemptResult &, Instant) override { ++ended; }
+    void onStaleEndpoint(const EndpointId &endpoint, Instant) override
+    {
+        missing.push_back(endpoint);
+    }
+    bool mayRetry(const ServiceId &, Instant) override { return repeatsLeft-- > 0; }
     void onRequest(const ServiceId &, Instant) override {}
 
-    std::vector<Placed> endpoints;
+    std::vector<PlacementTarget> endpoints;
     std::vector<EndpointId> missing;
     int repeatsLeft = 10;
     int sent = 0;
@@ -80,12 +83,12 @@
 };
 
 /// Has as many tokens as it is told.
-class CountingDesk : public TokenDesk
+class CountingDesk : public TokenReservations
 {
 public:
-    TokenTicket reserve(const WorkspaceId &, uint64_t tokens, Instant,
-                        std::function<void(std::optional<Verdict>)> handler) override;
-    void cancel(TokenTicket) override {}
+    TokenRequestId reserve(const WorkspaceId &, uint64_t tokens, Instant,
+                           std::function<void(std::optional<Verdict>)> handler) override;
+    void cancel(TokenRequestId) override {}
     void settle(const WorkspaceId &, uint64_t reservedTokens, uint64_t spentTokens) override;
 
     uint64_t usable = 1'000'000;
@@ -102,11 +105,12 @@
     bool isCallerSlow = false;
 };
 
-class ProxyWorld
+class ProxyTestHarness
 {
 public:
-    explicit ProxyWorld(std::vector<std::vector<Reply>> scripts, ProxyWorldSettings settings = {});
-    ~ProxyWorld();
+    explicit ProxyTestHarness(std::vector<std::vector<Reply>> scripts,
+                              ProxyWorldSettings settings = {});
+    ~ProxyTestHarness();
 
     /// Writes \p bytes as the caller.
     void send(const std::string &bytes);
--- a/unittests/Router/RouterPartsTest.cpp
+++ b/unittests/Router/RouterPartsTest.cpp
@@ -122,7 +122,7 @@
 TEST(RequestChart, LeadsFromReceivedToAnswered)
 {
     const Statechart chart = Statechart::parse(readShareFile("statecharts/request.json"));
-    StatechartPosition position(chart);
+    StatechartInstance position(chart);
     for (const char *event : {"reserved", "admitted", "sent", "not_run", "sent", "cut", "chunk",
                               "cut", "chunk", "whole"}) {
         position.handle(event);
--- a/unittests/Support/EscrowSearch.cpp
+++ b/unittests/Support/EscrowSearch.cpp
@@ -142,7 +142,7 @@
                 records::from("holder", 1, records::claim("g", "w", GrantTokens, "holder", "A"))
                         .SerializeAsString());
         state.position.fill(state.log.size());
-        state.account.readBack(foldOf(state, Holder).grant(theGrant()));
+        state.account.updateFromLog(foldOf(state, Holder).grant(theGrant()));
         return state;
     }
 
@@ -168,7 +168,7 @@
         const GrantAccount &account = state.account;
         std::string key = fmt::format("{}/{}/{}/{}/{}/{}/{}/", static_cast<int>(account.phase()),
                                       account.cap(), account.received(), account.spent(),
-                                      account.witness().text(), account.witnessChanging(),
+                                      account.witness().text(), account.witnessChangePending(),
                                       fmt::join(state.position, ","));
         for (std::size_t process = 0; process < Processes; ++process) {
             key += fmt::format("{},{},{};", state.signedTotal[process], state.suspects[process],
@@ -233,7 +233,7 @@
     {
         if (state.returns < bounds_.returns && state.account.returnable() >= Unit) {
             State after = state;
-            after.account.giveUp(Unit);
+            after.account.relinquish(Unit);
             ++after.returns;
             send(after, Holder, records::giveBack("g", Unit));
             next.push_back({fmt::format("holder returns {}", Unit), std::move(after)});
@@ -254,7 +254,7 @@
             next.push_back({fmt::format("holder closes with {} spent", spent), std::move(closed)});
         }
         for (const Process witness : {WitnessA, WitnessB}) {
-            if (state.account.witnessChanging() || state.account.witness() == idOf(witness)
+            if (state.account.witnessChangePending() || state.account.witness() == idOf(witness)
                 || state.witnessChanges == bounds_.witnessChanges) {
                 continue;
             }
@@ -285,8 +285,8 @@
         for (uint64_t total = Unit; total <= state.signedTotal[witness]; total += Unit) {
             State after = state;
             if (total > state.account.received()
-                && after.account.takeWindow(idOf(witness), total,
-                                            !grants_.holderStopsWindowsFirst)) {
+                && after.account.acceptWindow(idOf(witness), total,
+                                              !grants_.holderStopsWindowsFirst)) {
                 next.push_back(
                         {fmt::format("holder takes {}'s window up to {}", Names[witness], total),
                          std::move(after)});
@@ -334,7 +334,7 @@
         State after = state;
         ++after.position[process];
         if (process == Holder) {
-            after.account.readBack(foldOf(after, Holder).grant(theGrant()));
+            after.account.updateFromLog(foldOf(after, Holder).grant(theGrant()));
         } else {
             after.witnesses[process - WitnessA].onFold(foldOf(after, process), Instant{});
             sendSeals(after, process);
--- a/unittests/Support/EscrowWorld.cpp
+++ b/unittests/Support/EscrowWorld.cpp
@@ -120,7 +120,7 @@
         if (auto *append = std::get_if<AppendAction>(&action)) {
             queue(node, std::move(append->record));
         } else {
-            asks_.push_back({0, node.id, std::get<AskWindowAction>(action)});
+            asks_.push_back({0, node.id, std::get<RequestWindowAction>(action)});
         }
     }
 }
@@ -254,7 +254,7 @@
         holder->holder.onWindow(reply.grant, reply.witness, *total, now_);
         return;
     }
-    const bool final = !std::get<Verdict>(reply.outcome).comeBackAt;
+    const bool final = !std::get<Verdict>(reply.outcome).retryAt;
     holder->holder.onWindowRefused(reply.grant, reply.witness, final, now_);
 }
 
--- a/unittests/Support/EscrowWorld.h
+++ b/unittests/Support/EscrowWorld.h
@@ -94,7 +94,7 @@
     {
         std::size_t from = 0;
         Incarnation sender;
-        AskWindowAction action;
+        RequestWindowAction action;
     };
     struct Reply
     {
--- a/unittests/Support/FleetModel.cpp
+++ b/unittests/Support/FleetModel.cpp
@@ -374,10 +374,10 @@
     if (request.comebacks == 0) {
         tookNote(request, true);
     }
-    if (request.comebacks < load_.comebacks && verdict.comeBackAt.has_value()) {
+    if (request.comebacks < load_.comebacks && verdict.retryAt.has_value()) {
         ++request.comebacks;
         request.tried.clear();
-        agenda_.at(*verdict.comeBackAt, [this, id] { offer(id); });
+        agenda_.at(*verdict.retryAt, [this, id] { offer(id); });
         return;
     }
     if (measured(request.firstOfferedAt)) {
@@ -416,17 +416,17 @@
 {
     Request &request = requests_[id];
     Router &router = routers_[request.router];
-    const ChoiceOutcome outcome = router.choice->choose(request.item, request.tried, now());
+    const SelectionOutcome outcome = router.choice->choose(request.item, request.tried, now());
     if (const auto *verdict = std::get_if<Verdict>(&outcome)) {
         router.admission->finished(request.item.request, 0, now());
         refuse(id, *verdict);
         return;
     }
-    const EndpointId &endpoint = std::get<Chosen>(outcome).endpoint;
+    const EndpointId &endpoint = std::get<SelectedEndpoint>(outcome).endpoint;
     ++tries_;
     if (request.tried.empty()) {
         ++firstTries_;
-        router.retries.onFirstTry(now());
+        router.retries.onFirstAttempt(now());
     }
     request.tried.push_back(endpoint);
     request.endpoint = engineIndex_.at(endpoint);
--- a/unittests/Support/FleetPolicies.cpp
+++ b/unittests/Support/FleetPolicies.cpp
@@ -52,7 +52,7 @@
 class SequoiagateChoice : public ChoiceStrategy
 {
 public:
-    SequoiagateChoice(const DomainId &self, EndpointChoiceSettings settings)
+    SequoiagateChoice(const DomainId &self, EndpointSelectorSettings settings)
         : choice_(self, settings)
     {}
 
@@ -60,10 +60,10 @@
     {
         choice_.setEndpoints(endpoints, now);
     }
-    ChoiceOutcome choose(const WorkItem &item, const std::vector<EndpointId> &tried,
-                         Instant now) override
+    SelectionOutcome choose(const WorkItem &item, const std::vector<EndpointId> &tried,
+                            Instant now) override
     {
-        return choice_.choose(item, tried, now);
+        return choice_.select(item, tried, now);
     }
     void onSent(const EndpointId &endpoint, const WorkItem &item, Instant now) override
     {
@@ -73,17 +73,17 @@
     {
         choice_.onFirstToken(endpoint, request, now);
     }
-    void onEnd(const TryResult &result, Instant now) override { choice_.onEnd(result, now); }
+    void onEnd(const AttemptResult &result, Instant now) override { choice_.onEnd(result, now); }
     void onReport(const LoadReport &report, Instant now) override { choice_.onReport(report, now); }
     void onCacheEvent(const EndpointId &endpoint, uint64_t prefix, bool stored,
                       Instant observedAt) override
     {
         choice_.onCacheEvent(endpoint, prefix, stored, observedAt);
     }
-    uint32_t totalSlots(Instant now) const override { return choice_.totalSlots(now); }
+    uint32_t totalSlots(Instant now) const override { return choice_.concurrencyLimit(now); }
 
 private:
-    EndpointChoice choice_;
+    EndpointSelector choice_;
 };
 
 /// The policies that one would write first. They leave out what is known to be away
@@ -100,8 +100,8 @@
             endpoints_.push_back({spec, 0, true});
         }
     }
-    ChoiceOutcome choose(const WorkItem &item, const std::vector<EndpointId> &tried,
-                         Instant now) override;
+    SelectionOutcome choose(const WorkItem &item, const std::vector<EndpointId> &tried,
+                            Instant now) override;
     void onSent(const EndpointId &endpoint, const WorkItem & /*item*/, Instant /*now*/) override
     {
         ++find(endpoint).inFlight;
@@ -109,7 +109,7 @@
     void onFirstToken(const EndpointId & /*endpoint*/, const RequestId & /*request*/,
                       Instant /*now*/) override
     {}
-    void onEnd(const TryResult &result, Instant /*now*/) override
+    void onEnd(const AttemptResult &result, Instant /*now*/) override
     {
         --find(result.endpoint).inFlight;
     }
@@ -143,8 +143,8 @@
     std::size_t next_ = 0;
 };
 
-ChoiceOutcome BaselineChoice::choose(const WorkItem &item, const std::vector<EndpointId> &tried,
-                                     Instant now)
+SelectionOutcome BaselineChoice::choose(const WorkItem &item, const std::vector<EndpointId> &tried,
+                                        Instant now)
 {
     std::vector<Endpoint *> usable;
     for (Endpoint &endpoint : endpoints_) {
@@ -158,7 +158,7 @@
         return Verdict{Execution::NotRun, Reason::NoEndpoint, "no endpoint can be used",
                        now + Seconds(1)};
     }
-    return Chosen{pick(item, usable)->spec.id, "baseline"};
+    return SelectedEndpoint{pick(item, usable)->spec.id, "baseline"};
 }
 
 BaselineChoice::Endpoint *BaselineChoice::pick(const WorkItem &item,
@@ -186,7 +186,7 @@
 
 } // namespace
 
-Policy sequoiagatePolicy(AdmissionSettings admission, EndpointChoiceSettings choice)
+Policy sequoiagatePolicy(AdmissionSettings admission, EndpointSelectorSettings choice)
 {
     Policy policy;
     policy.name = "sequoiagate";
@@ -196,7 +196,7 @@
         return std::make_unique<LimitedAdmission>(settings);
     };
     policy.choice = [choice](const DomainId &self, uint64_t seed) {
-        EndpointChoiceSettings settings = choice;
+        EndpointSelectorSettings settings = choice;
         settings.seed = seed;
         return std::make_unique<SequoiagateChoice>(self, settings);
     };
--- a/unittests/Support/FleetPolicies.h
+++ b/unittests/Support/FleetPolicies.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "sequoiagate/Decisions/Admission.h"
-#include "sequoiagate/Decisions/EndpointChoice.h"
+#include "sequoiagate/Decisions/EndpointSelector.h"
 
 namespace sequoiagate::model {
 
@@ -33,12 +33,12 @@
 public:
     virtual ~ChoiceStrategy() = default;
     virtual void setEndpoints(const std::vector<EndpointSpec> &endpoints, Instant now) = 0;
-    virtual ChoiceOutcome choose(const WorkItem &item, const std::vector<EndpointId> &tried,
-                                 Instant now) = 0;
+    virtual SelectionOutcome choose(const WorkItem &item, const std::vector<EndpointId> &tried,
+                                    Instant now) = 0;
     virtual void onSent(const EndpointId &endpoint, const WorkItem &item, Instant now) = 0;
     virtual void onFirstToken(const EndpointId &endpoint, const RequestId &request,
                               Instant now) = 0;
-    virtual void onEnd(const TryResult &result, Instant now) = 0;
+    virtual void onEnd(const AttemptResult &result, Instant now) = 0;
     virtual void onReport(const LoadReport &report, Instant now) = 0;
     virtual void onCacheEvent(const EndpointId &endpoint, uint64_t prefix, bool stored,
                               Instant observedAt) = 0;
@@ -63,7 +63,7 @@
 };
 
 /// The project's policies.
-Policy sequoiagatePolicy(AdmissionSettings admission = {}, EndpointChoiceSettings choice = {});
+Policy sequoiagatePolicy(AdmissionSettings admission = {}, EndpointSelectorSettings choice = {});
 /// The project's admission before a plain choice.
 Policy plainChoicePolicy(const std::string &name, PlainChoice choice);
 /// A plain choice, and every request is let in at once.
