--- a/include/sequoiagate/Decisions/DistributedRetryBudget.h
+++ b/include/sequoiagate/Decisions/DistributedRetryBudget.h
@@ -1,15 +1,15 @@
 #ifndef SEQUOIAGATE_DECISIONS_DISTRIBUTEDRETRYBUDGET_H
 #define SEQUOIAGATE_DECISIONS_DISTRIBUTEDRETRYBUDGET_H
 
-/// How many repeats this process may add to a service's load, where the bound is one for
-/// all processes together. Pure.
+/// This process's share of a retry budget that bounds the retries of all processes together.
+/// Pure.
 ///
-/// Answers endpoints that fail or refuse in numbers. Repeats that each process counts by
-/// itself add up to several times the bound, just when the endpoints that are left can
-/// least bear it. Here each process takes an equal part of the fixed allowance and its own
-/// requests' part of the proportional one, so that the sum keeps the bound without a word
-/// between them. Processes that aren't known make the sum too high: only a part of the
-/// bound is used.
+/// Guards against many endpoints that fail or refuse requests. If each process bounded its
+/// retries independently, their sum would be several times the bound, just when the remaining
+/// endpoints can least handle it. Here each process uses an equal share of the fixed allowance
+/// and a proportional allowance for its own requests, so that the sum stays within the bound
+/// without communication. Processes that aren't counted would make the sum too high: only a
+/// part of the bound is used.
 
 #include <deque>
 #include <unordered_map>
@@ -21,10 +21,11 @@
 
 struct DistributedRetryBudgetSettings
 {
-    double ratio = 0.2;                         ///< repeats per request
-    double baseRetries = 50.0;                  ///< repeats beside, all processes together
-    Interval window = std::chrono::seconds(10); ///< over which the bound holds
-    double usableFraction = 0.7; ///< of the bound: processes come and go, and windows slide
+    double ratio = 0.2;                         ///< retries per request
+    double baseRetries = 50.0;                  ///< retries beside those, of all processes together
+    Interval window = std::chrono::seconds(10); ///< over which retries are bounded
+    /// Fraction of the bound that is used: the number of processes changes, and windows slide.
+    double usableFraction = 0.7;
 };
 
 /// Not thread safe.
@@ -36,22 +37,22 @@
 
     void setSettings(DistributedRetryBudgetSettings settings) { settings_ = settings; }
     /// \pre count > 0
-    void setProcessCount(uint32_t count) { processes_ = count; }
+    void setProcessCount(uint32_t count) { processCount_ = count; }
     void onRequest(const ServiceId &service, Instant now);
-    /// Whether a request may be sent to \p service once more; counts it if so.
+    /// Whether a request to \p service may be retried; counts the retry if so.
     bool mayRetry(const ServiceId &service, Instant now);
 
 private:
     struct Counts
     {
         std::deque<Instant> requests;
-        std::deque<Instant> repeats;
+        std::deque<Instant> retries;
     };
 
     void expire(Counts &counts, Instant now) const;
 
     DistributedRetryBudgetSettings settings_;
-    uint32_t processes_ = 1;
+    uint32_t processCount_ = 1;
     std::unordered_map<ServiceId, Counts> services_;
 };
 
--- a/include/sequoiagate/Decisions/EndpointLoad.h
+++ b/include/sequoiagate/Decisions/EndpointLoad.h
@@ -1,14 +1,14 @@
 #ifndef SEQUOIAGATE_DECISIONS_ENDPOINTLOAD_H
 #define SEQUOIAGATE_DECISIONS_ENDPOINTLOAD_H
 
-/// How many requests an endpoint is believed to have in hand.
+/// Estimates how many requests an endpoint has.
 ///
-/// Answers load reports that lag. A router that goes by the last report alone sends
-/// everything to the endpoint that was idle when it spoke, for as long as the lag
-/// lasts; the next report shows it overrun and another one idle, and the load swings
-/// between them. Here what this router sent and what ended since the report was
-/// observed is added to it. What other routers sent since isn't known: EndpointChoice
-/// spreads its choices so that they needn't be.
+/// Guards against load reports that lag. A router that relies on the last report alone
+/// sends everything to the endpoint that was idle in it, for as long as the lag lasts;
+/// the next report shows that endpoint overloaded and another one idle, and the load
+/// oscillates between them. Here the requests that this router sent and finished since
+/// the report was observed are added to it. What other routers sent since is unknown:
+/// EndpointSelector spreads its selections so that it needn't be known.
 
 #include <algorithm>
 #include <cstdint>
@@ -22,7 +22,7 @@
 class EndpointLoad
 {
 public:
-    /// A report older than this is no news: only what this router sent still counts.
+    /// A report older than this is ignored: only what this router sent still counts.
     /// Five times the lag at which engines report.
     static constexpr Interval ReportLifetime = std::chrono::seconds(5);
 
@@ -31,27 +31,32 @@
     /// A report observed before the last one is ignored.
     void onReport(const LoadReport &report);
 
-    /// Requests running or waiting there, as far as this router can tell.
+    /// Estimated number of requests running or waiting there.
     double requests(Instant now) const
     {
-        return fresh(now) ? std::max<double>(own_, reported(now) + since_) : own_;
+        return hasFreshReport(now)
+                       ? std::max<double>(ownRequests_, reportedRequests(now) + changeSinceReport_)
+                       : ownRequests_;
     }
     /// Requests of this router that are open there.
-    uint32_t own() const { return own_; }
-    /// Requests there when the last report was observed, and this router's among them:
-    /// its part is told by these two, as they are of one moment. By what it has now, each
-    /// router's part of an older whole grew with the load, and in a burst all of them took
-    /// more than there was.
-    double reported(Instant now) const
+    uint32_t ownRequests() const { return ownRequests_; }
+    /// Requests there when the last report was observed, and this router's among them. The
+    /// router's share is computed from these two because they describe one moment. Computed
+    /// from its present requests, each router's share of an older total grew with the load,
+    /// and in a burst the routers together took more than there was.
+    double reportedRequests(Instant now) const
     {
-        return fresh(now) ? static_cast<double>(report_.running) + report_.waiting : own_;
+        return hasFreshReport(now) ? static_cast<double>(report_.running) + report_.waiting
+                                   : ownRequests_;
     }
-    double ownWhenReported(Instant now) const
+    double ownRequestsAtReport(Instant now) const
     {
-        return fresh(now) ? std::max<double>(static_cast<int>(own_) - since_, 0.0) : own_;
+        return hasFreshReport(now)
+                       ? std::max<double>(static_cast<int>(ownRequests_) - changeSinceReport_, 0.0)
+                       : ownRequests_;
     }
     const LoadReport &report() const { return report_; }
-    bool fresh(Instant now) const { return reported_ && now < reportExpiresAt_; }
+    bool hasFreshReport(Instant now) const { return hasReport_ && now < reportExpiresAt_; }
 
 private:
     /// A request sent or ended since the report.
@@ -61,15 +66,15 @@
         int requests; ///< 1 or -1
     };
 
-    void record(int requests, Instant now);
-    void dropUntil(Instant until);
+    void recordChange(int requests, Instant now);
+    void dropChangesUntil(Instant until);
 
     LoadReport report_;
-    bool reported_ = false;
+    bool hasReport_ = false;
     Instant reportExpiresAt_;
-    uint32_t own_ = 0;
+    uint32_t ownRequests_ = 0;
     std::deque<Change> changes_;
-    int since_ = 0; ///< the sum of the changes
+    int changeSinceReport_ = 0; ///< the sum of the changes
 };
 
 } // namespace sequoiagate
--- a/include/sequoiagate/Decisions/EndpointSpec.h
+++ b/include/sequoiagate/Decisions/EndpointSpec.h
@@ -1,7 +1,7 @@
 #ifndef SEQUOIAGATE_DECISIONS_ENDPOINTSPEC_H
 #define SEQUOIAGATE_DECISIONS_ENDPOINTSPEC_H
 
-/// What the decisions are told of an endpoint.
+/// The endpoint properties and observations that the decisions take as input.
 
 #include <cstdint>
 #include <vector>
@@ -11,7 +11,7 @@
 
 namespace sequoiagate {
 
-/// An endpoint as configuration names it.
+/// An endpoint as the configuration defines it.
 struct EndpointSpec
 {
     EndpointId id;
@@ -22,7 +22,7 @@
     bool leaving = false;
 };
 
-/// What an endpoint said of itself, late.
+/// An endpoint's report of its own load; it arrives with a delay.
 struct LoadReport
 {
     EndpointId endpoint;
@@ -34,13 +34,13 @@
     Instant observedAt;
 };
 
-/// How one try at an endpoint went.
+/// The outcome of one attempt at an endpoint.
 struct AttemptResult
 {
     EndpointId endpoint;
     RequestId request;
-    bool succeeded = false; ///< also when it was the caller who hung up
-    Interval firstToken{};  ///< 0: none came
+    bool succeeded = false; ///< also if the caller hung up
+    Interval firstToken{};  ///< 0: no token arrived
     uint64_t tokens = 0;
 };
 
--- a/include/sequoiagate/Decisions/Estimates.h
+++ b/include/sequoiagate/Decisions/Estimates.h
@@ -1,7 +1,7 @@
 #ifndef SEQUOIAGATE_DECISIONS_ESTIMATES_H
 #define SEQUOIAGATE_DECISIONS_ESTIMATES_H
 
-/// Small estimators that the policies share. Pure; none is thread safe.
+/// Small estimators shared by the policies. Pure; none is thread safe.
 
 #include <array>
 #include <cstddef>
@@ -11,21 +11,21 @@
 
 namespace sequoiagate {
 
-/// \p seconds as an interval, at least zero and at most an hour, so that a division
-/// by a rate near zero can't overflow the clock.
+/// Converts \p seconds, clamped to between zero and an hour so that a division by a rate
+/// near zero can't overflow the clock.
 Interval intervalOf(double seconds);
 double secondsOf(Interval interval);
 
-/// A mean that forgets: the plain mean of the first samples, then one in which each
-/// new sample weighs 1/Memory.
+/// A moving mean: the plain mean of the first samples, then an exponential one in which
+/// each new sample has the weight 1/memory.
 class MovingMean
 {
 public:
-    /// \param memory samples after which an old one counts for a third
+    /// \param memory number of samples after which the weight of an old one has fallen to a third
     explicit MovingMean(uint32_t memory) : memory_(memory) {}
 
     void add(double sample);
-    uint32_t samples() const { return samples_; } ///< counted up to the memory
+    uint32_t samples() const { return samples_; } ///< at most memory
     double mean() const { return mean_; }         ///< 0 without samples
     void reset();
 
@@ -35,8 +35,8 @@
     double mean_ = 0.0;
 };
 
-/// The median of the last few samples: unlike a mean it isn't moved by a few that are far
-/// off.
+/// The median of the last Window samples: unlike a mean it isn't affected by a few
+/// extreme ones.
 class RecentMedian
 {
 public:
@@ -51,7 +51,7 @@
     std::array<double, Window> ring_ = {};
     std::size_t next_ = 0;
     std::size_t count_ = 0;
-    double median_ = 0.0; ///< worked out by add: it is asked for more often
+    double median_ = 0.0; ///< computed by add, as it is read more often
 };
 
 } // namespace sequoiagate
--- a/include/sequoiagate/Decisions/FairQueue.h
+++ b/include/sequoiagate/Decisions/FairQueue.h
@@ -4,17 +4,16 @@
 /// The order in which waiting requests are served: start-time fair queueing
 /// between workspaces, measured in tokens.
 ///
-/// Answers the load in which a few workspaces send most requests. In order of
-/// arrival a small workspace's one request stands behind the hundred of a large
-/// one, and its caller sees waits and refusals that it did nothing to cause.
+/// Guards against a load in which a few workspaces send most requests. In order of
+/// arrival, the one request of a small workspace would wait behind a hundred of a large
+/// one, and its caller would see delays and refusals caused by others.
 ///
-/// Each workspace is a flow. A request's start tag is the later of the virtual
-/// time and the flow's last finish tag, and its finish tag adds its tokens over
-/// the workspace's weight. The lowest start tag goes first. Virtual time is the
-/// start tag last served, so a workspace that was silent starts level with the
-/// others and can neither save up service nor be made to pay for what it used
-/// while nobody waited: then virtual time follows every finish tag (Goyal, Vin and Cheng,
-/// "Start-time Fair Queuing", 1996).
+/// Each workspace is a flow. A request's start tag is the later of the virtual time and
+/// the flow's last finish tag; its finish tag adds its tokens over the workspace's weight.
+/// The request with the lowest start tag is served first. Virtual time is the start tag
+/// last served, so a workspace that was idle starts level with the others and can't save
+/// up service. Nor is it charged for what it used while no request waited: then virtual
+/// time follows every finish tag (Goyal, Vin and Cheng, "Start-time Fair Queuing", 1996).
 
 #include <cstddef>
 #include <cstdint>
@@ -27,11 +26,11 @@
 
 namespace sequoiagate {
 
-/// A request that waits.
+/// A waiting request.
 struct QueueEntry
 {
     WorkItem item;
-    Instant until; ///< it is given up then
+    Instant deadline; ///< the request is dropped then
 };
 
 /// Not thread safe.
@@ -40,45 +39,47 @@
 public:
     FairQueue();
 
-    /// What a request is expected to cost: its prompt and its output ceiling. A
-    /// ceiling that isn't used is given back by settle.
+    /// The expected cost of a request: its prompt and its output ceiling. adjustCost
+    /// credits the part of the ceiling that wasn't used.
     static double expectedCost(const WorkItem &item);
 
     std::size_t size() const { return entries_.size(); }
     bool empty() const { return entries_.empty(); }
 
-    /// How many waiting requests would go before \p item if it were pushed now.
+    /// How many waiting requests would be served before \p item if it were pushed now.
     std::size_t ahead(const WorkItem &item) const;
     /// How many requests of \p workspace wait.
     std::size_t waitingOf(const WorkspaceId &workspace) const;
     /// How many workspaces have requests waiting.
     std::size_t waitingWorkspaces() const;
-    /// Whether \p item would stand behind every request that waits.
+    /// Whether \p item would be served after every waiting request.
     bool wouldBeLast(const WorkItem &item) const { return ahead(item) == size(); }
 
-    void push(const WorkItem &item, Instant until);
-    /// Counts a request that was served without waiting.
-    void chargeServed(const WorkItem &item);
-    /// The request to serve next of those that \p allowed accepts; nullopt when none waits.
+    void push(const WorkItem &item, Instant deadline);
+    /// Charges a workspace for a request that was served without waiting.
+    void chargeUnqueued(const WorkItem &item);
+    /// Removes and returns the first request in order of service that \p allowed accepts;
+    /// nullopt if there is none.
     template <typename Predicate>
     std::optional<QueueEntry> popFirst(const Predicate &allowed);
-    /// The request furthest beyond its workspace's share; nullopt when none waits.
+    /// Removes and returns the request furthest beyond its workspace's share; nullopt if
+    /// none waits.
     std::optional<QueueEntry> popLast();
     /// Removes a request whose caller hung up. \returns whether it waited.
     bool remove(const RequestId &request);
-    /// Replaces the expected cost of a served request by what it took.
-    void settle(const WorkspaceId &workspace, double expected, double actual, double weight);
+    /// Replaces the expected cost of a served request by its actual cost.
+    void adjustCost(const WorkspaceId &workspace, double expected, double actual, double weight);
 
-    /// Removes and returns, in order of service, the requests of which \p giveUp
+    /// Removes and returns, in order of service, the requests for which \p predicate
     /// is true. It is called with the entry and its position.
     template <typename Predicate>
-    std::vector<QueueEntry> takeIf(const Predicate &giveUp);
+    std::vector<QueueEntry> extractIf(const Predicate &predicate);
 
-    /// The earliest end of waiting; Never when none waits.
+    /// The earliest deadline; Never if no request waits.
     Instant nextDeadline() const;
 
 private:
-    /// Where an entry stands: by start tag, then by arrival.
+    /// Sort key of an entry: by start tag, then by arrival.
     struct Position
     {
         double startTag;
@@ -100,13 +101,13 @@
     using Entries = std::map<Position, QueueEntry>;
 
     double startTag(const WorkItem &item) const;
-    QueueEntry take(Entries::iterator entry, bool served);
-    void forgetIdleFlows();
+    QueueEntry extract(Entries::iterator entry, bool served);
+    void dropIdleFlows();
 
     Entries entries_;
     std::unordered_map<WorkspaceId, Flow> flows_;
     std::size_t waitingFlows_ = 0;
-    std::size_t sweepAbove_; ///< flows, before idle ones are looked for
+    std::size_t sweepThreshold_; ///< number of flows above which idle ones are dropped
     double virtualTime_ = 0.0;
     uint64_t nextSequence_ = 0;
 };
@@ -116,26 +117,26 @@
 {
     for (auto entry = entries_.begin(); entry != entries_.end(); ++entry) {
         if (allowed(entry->second)) {
-            return take(entry, true);
+            return extract(entry, true);
         }
     }
     return std::nullopt;
 }
 
 template <typename Predicate>
-std::vector<QueueEntry> FairQueue::takeIf(const Predicate &giveUp)
+std::vector<QueueEntry> FairQueue::extractIf(const Predicate &predicate)
 {
-    std::vector<QueueEntry> taken;
+    std::vector<QueueEntry> extracted;
     std::size_t position = 0;
     for (auto entry = entries_.begin(); entry != entries_.end();) {
         const auto current = entry++;
-        if (giveUp(current->second, position)) {
-            taken.push_back(take(current, false));
+        if (predicate(current->second, position)) {
+            extracted.push_back(extract(current, false));
         } else {
             ++position;
         }
     }
-    return taken;
+    return extracted;
 }
 
 } // namespace sequoiagate
--- a/include/sequoiagate/Decisions/LinkLoad.h
+++ b/include/sequoiagate/Decisions/LinkLoad.h
@@ -1,17 +1,20 @@
 #ifndef SEQUOIAGATE_DECISIONS_LINKLOAD_H
 #define SEQUOIAGATE_DECISIONS_LINKLOAD_H
 
-/// Whether this host's network link still has room. Pure.
+/// Whether this host's network link has spare capacity. Pure.
 ///
-/// Answers callers that keep to one host, or a balancer's hash that gives it several times
-/// its share. Prompts of 18 KB fill a link of 10 Mbit/s at 60 requests a second, while the
-/// processor idles: packets wait for half a second, connections to endpoints time out, each
-/// time-out sends a prompt again, and next to nothing is served. A host whose link fills takes
-/// no new callers and closes the connections of those it has behind their answers, so that
-/// they come back elsewhere; beyond that large requests are refused, which spares the way out.
-/// A caller that alone fills the link comes back with the balancer's hash as soon as the host
-/// takes callers again: each return costs some four seconds in which most requests fail, until
-/// the balancer has noticed. So a host that fills again soon stays away twice as long.
+/// Guards against callers that always use one host, and against a load balancer whose hash
+/// gives a host several times its share. Prompts of 18 KB fill a link of 10 Mbit/s at 60
+/// requests a second while the processor idles: packets are delayed by half a second,
+/// connections to endpoints time out, each timeout sends a prompt again, and almost nothing
+/// is served. A host whose link is nearly full accepts no new callers and closes existing
+/// connections after their responses, so that the callers reconnect to other hosts. Above a
+/// second threshold it refuses large requests, which saves outbound bandwidth.
+///
+/// A single caller that fills the link returns through the balancer's hash as soon as the host
+/// accepts callers again. Each return costs about four seconds in which most requests fail,
+/// until the balancer notices. A host whose link fills again soon therefore sheds load for
+/// twice as long.
 
 #include <cstdint>
 
@@ -21,23 +24,23 @@
 
 struct LinkLoadSettings
 {
-    uint64_t bytesPerSecond = 0; ///< each way; 0: unknown, and never full
-    /// Of the link, from which callers are sent elsewhere: queues grow without bound at 1, and
-    /// frames and acknowledgements take some 5% that isn't counted.
-    double shedAbove = 0.75;
-    double refuseAbove = 0.92;
-    /// The time over which bytes are counted: long beside one prompt's way through (15 ms at
-    /// 10 Mbit/s), short beside the second that callers wait for an answer.
+    uint64_t bytesPerSecond = 0; ///< in each direction; 0: unknown, and never full
+    /// Link utilization above which callers are sent to other hosts: queues grow without bound
+    /// at 1, and frames and acknowledgements take about 5% that isn't counted.
+    double shedThreshold = 0.75;
+    double refuseThreshold = 0.92;
+    /// The time over which bytes are counted: long compared with one prompt's transmission
+    /// (15 ms at 10 Mbit/s), short compared with the second that callers wait for a response.
     Interval window = std::chrono::milliseconds(500);
-    /// Shedding lasts so long at least: the balancer asks once a second and needs two answers.
-    Interval shedFor = std::chrono::seconds(3);
-    /// A link that is full again so soon after the shedding ended was filled by who came back:
-    /// callers of users that press in waves need up to the wave's period of 8 to 13 s for it.
-    Interval settledAfter = std::chrono::seconds(15);
-    /// Each such time the next shedding lasts twice as long, so many times: up to 48 s.
-    uint32_t mostDoublings = 4;
-    /// Smaller requests are never refused: they aren't what fills the link.
-    uint64_t largeBytes = 4096;
+    /// Minimum duration of shedding: the balancer checks once a second and needs two results.
+    Interval shedDuration = std::chrono::seconds(3);
+    /// A link that is full again within this time after shedding ended was filled by returning
+    /// callers: users whose load comes in waves take up to the wave's period of 8 to 13 s.
+    Interval recurrenceWindow = std::chrono::seconds(15);
+    /// Shedding lasts twice as long at each recurrence, up to this many times: at most 48 s.
+    uint32_t maxDoublings = 4;
+    /// Smaller requests are never refused: they don't fill the link.
+    uint64_t minRefusedBytes = 4096;
 };
 
 /// Not thread safe.
@@ -49,23 +52,23 @@
     void setBytesPerSecond(uint64_t bytes) { settings_.bytesPerSecond = bytes; }
     void onReceived(uint64_t bytes, Instant now) { in_.add(bytes, now, settings_.window); }
     void onSent(uint64_t bytes, Instant now) { out_.add(bytes, now, settings_.window); }
-    /// Whether callers are to go elsewhere.
+    /// Whether callers are to be sent to other hosts.
     bool shedding(Instant now);
     /// Whether a request of \p bytes is to be refused.
     bool refuses(uint64_t bytes, Instant now) const;
-    /// Whether what is sent and asked for may be late for the link's sake.
-    bool busy(Instant now) const { return share(now) > settings_.shedAbove; }
-    /// The fuller way's part of the link; above 1 it is late.
+    /// Whether traffic may be delayed because the link is nearly full.
+    bool busy(Instant now) const { return share(now) > settings_.shedThreshold; }
+    /// Utilization of the fuller direction; above 1 traffic is delayed.
     double share(Instant now) const;
 
 private:
-    /// Bytes in the window that runs and in the one before.
+    /// Byte counts of the current and the previous window.
     struct Direction
     {
         void add(uint64_t bytes, Instant now, Interval window);
-        double over(Instant now, Interval window) const;
+        double bytesInWindow(Instant now, Interval window) const;
 
-        Instant begun{};
+        Instant windowStart{};
         uint64_t current = 0;
         uint64_t previous = 0;
     };
--- a/include/sequoiagate/Decisions/PrefillLimit.h
+++ b/include/sequoiagate/Decisions/PrefillLimit.h
@@ -1,19 +1,20 @@
 #ifndef SEQUOIAGATE_DECISIONS_PREFILLLIMIT_H
 #define SEQUOIAGATE_DECISIONS_PREFILLLIMIT_H
 
-/// How many requests may be between being sent and their first token.
+/// Adaptive limit of the requests in prefill: sent, but without a first token.
 ///
-/// Answers a burst that meets free slots. Slots bound the streams, but all requests of
-/// a burst would begin in the same moment: an engine prefills one prompt after another,
-/// and with 75 slots free the last of them has its first token after 3.4 s (tenfold
-/// burst, p95 without this limit: 8 s when routers minded slots alone, 0.76 s for 0.35 s
-/// as they choose endpoints now). They wait here instead, where the order is
-/// fair and an early refusal is still possible.
+/// Guards against a burst that arrives while slots are free. Slots bound the streams, but
+/// all requests of a burst would start at the same moment: an engine prefills one prompt
+/// after another, and with 75 free slots the last of them gets its first token after 3.4 s
+/// (tenfold burst, p95 without this limit: 8 s when routers considered slots alone, and
+/// 0.76 s instead of 0.35 s with the present endpoint selection). With the limit they wait
+/// in this router's queue instead, where the order is fair and an early refusal is still
+/// possible.
 ///
-/// The engines' speed at prefill isn't known and is shared with other routers, so the
-/// limit finds it: it grows by one for each limit's worth of first tokens in time, and
-/// falls by a fifth when one comes late (additive increase, multiplicative decrease;
-/// Chiu and Jain, 1989: routers that share an engine come to equal parts).
+/// The engines' prefill throughput isn't known and is shared with other routers, so the
+/// limit adapts to it: it grows by one for each limit's worth of first tokens that are on
+/// time, and falls by a fifth when one is late (additive increase, multiplicative decrease;
+/// Chiu and Jain, 1989: routers that share an engine converge to equal shares).
 
 #include <cstdint>
 
@@ -26,32 +27,32 @@
 class PrefillLimit
 {
 public:
-    /// Enough for ten times the design's load of a router (24 requests a second, 50 ms
-    /// to the first token) at the start.
-    static constexpr double Initial = 16.0;
-    /// At so few first tokens are as quick as they get: their times are the yardstick
-    /// of a service that is slow by nature.
-    static constexpr double Least = 4.0;
-
-    /// \param target first tokens later than this are late, unless the service's own
+    /// Initially enough for ten times a router's load at the design size (24 requests a
+    /// second, 50 ms to the first token).
+    static constexpr double InitialLimit = 16.0;
+    /// With so few requests in prefill, first tokens are as fast as they can be: their
+    /// times are the reference for a service that is inherently slow.
+    static constexpr double MinLimit = 4.0;
+
+    /// \param target first tokens later than this are late, unless the service's unloaded
     ///     time is near it
     explicit PrefillLimit(Interval target);
 
-    /// \param took from sending to the first token
-    /// \param starting requests without a first token when it came
-    void onFirstToken(Interval took, uint32_t starting, Instant now);
+    /// \param latency from sending to the first token
+    /// \param prefilling requests without a first token when it arrived
+    void onFirstToken(Interval latency, uint32_t prefilling, Instant now);
     uint32_t limit() const { return static_cast<uint32_t>(limit_); }
-    /// Requests a second that may begin, as things are; 0 while unknown.
-    double perSecond() const;
+    /// Requests per second that may start prefill at the present limit; 0 while unknown.
+    double startsPerSecond() const;
 
 private:
-    Interval lateAfter() const;
+    Interval latenessThreshold() const;
 
     Interval target_;
-    double limit_ = Initial;
+    double limit_ = InitialLimit;
     MovingMean unloadedSeconds_;
-    MovingMean seconds_;
-    Instant mayFallAt_;
+    MovingMean firstTokenSeconds_;
+    Instant nextDecreaseAt_;
 };
 
 } // namespace sequoiagate
--- a/include/sequoiagate/Decisions/PrefixAffinity.h
+++ b/include/sequoiagate/Decisions/PrefixAffinity.h
@@ -1,16 +1,16 @@
 #ifndef SEQUOIAGATE_DECISIONS_PREFIXAFFINITY_H
 #define SEQUOIAGATE_DECISIONS_PREFIXAFFINITY_H
 
-/// Which endpoints are believed to hold a prompt prefix in their cache.
+/// Which endpoints are expected to have a prompt prefix in their cache.
 ///
-/// Answers callers or prefix keys that take most of the load. Work spread without
-/// regard to prefixes prefills the same tokens at every endpoint, and the first token
-/// comes later by the whole prefill. The prefix's home is the rendezvous choice, so
-/// that routers agree on it without a word; this table adds what the hash can't know:
-/// where a prefix went when its home was full or away.
+/// Guards against callers or prefix keys that make up most of the load. Requests spread
+/// without regard to prefixes prefill the same tokens at every endpoint, and the first
+/// token is late by the whole prefill. A prefix's home is the endpoint that rendezvous
+/// hashing ranks first, so that routers agree on it without communicating. This table adds
+/// what the hash can't tell: where a prefix was sent when its home was full or unavailable.
 ///
-/// Engines publish cache events late and with gaps, and their memory is limited: an
-/// eviction may never be heard of. A belief therefore ends by itself.
+/// Engines publish cache events late and with gaps, and their memory is limited, so an
+/// eviction may never be reported. Entries therefore expire.
 
 #include <cstddef>
 #include <cstdint>
@@ -21,40 +21,42 @@
 
 namespace sequoiagate {
 
-/// Endpoints go by their stable hash here. Not thread safe.
+/// Identifies endpoints by their stable hash. Not thread safe.
 class PrefixAffinity
 {
 public:
-    /// A belief that isn't renewed by work or an event ends after this. A wrong belief
-    /// costs one prefill, a forgotten one as much; a minute is some five times what an
-    /// event may be late and as long as a conversation pauses.
-    static constexpr Interval BeliefLifetime = std::chrono::seconds(60);
+    /// An entry that isn't renewed by a request or an event expires after this time. A stale
+    /// entry costs one prefill, and so does a missing one; a minute is about five times the
+    /// delay of an event and as long as a conversation pauses.
+    static constexpr Interval EntryLifetime = std::chrono::seconds(60);
     /// Holders kept for one prefix: at 25% of the load and a bound of 1.25 times the
     /// mean a hot prefix needs a fifth of the endpoints.
-    static constexpr std::size_t MostHolders = 32;
+    static constexpr std::size_t MaxHolders = 32;
 
-    /// \p endpoint was sent work with that prefix, or published that it stored it.
-    void learn(uint64_t prefix, uint64_t endpoint, Instant seenAt);
-    /// \p endpoint published that it evicted the prefix.
-    void forget(uint64_t prefix, uint64_t endpoint);
-    bool believes(uint64_t prefix, uint64_t endpoint, Instant now) const;
-    std::size_t prefixes() const { return holders_.size(); }
+    /// Records that \p endpoint was sent a request with the prefix, or published that it
+    /// stored it.
+    void addHolder(uint64_t prefix, uint64_t endpoint, Instant seenAt);
+    /// Records that \p endpoint published that it evicted the prefix.
+    void removeHolder(uint64_t prefix, uint64_t endpoint);
+    /// Whether \p endpoint is expected to have the prefix in its cache.
+    bool hasHolder(uint64_t prefix, uint64_t endpoint, Instant now) const;
+    std::size_t prefixCount() const { return holders_.size(); }
 
 private:
     struct Holder
     {
         uint64_t endpoint;
-        Instant believedUntil;
+        Instant expiresAt;
     };
 
-    void sweep(Instant now);
+    void dropExpired(Instant now);
 
     std::unordered_map<uint64_t, std::vector<Holder>> holders_;
-    std::size_t sweepAbove_ = 1024;
+    std::size_t sweepThreshold_ = 1024; ///< number of prefixes above which expired ones are dropped
 };
 
-/// The weight of an endpoint for a prefix; the highest is the prefix's home. A mix of
-/// two hashes that were computed before, as there are 140 of them in each choice.
+/// Rendezvous weight of an endpoint for a prefix; the endpoint with the highest weight is
+/// the prefix's home. Mixes two precomputed hashes, as each selection computes 140 weights.
 inline uint64_t affinityWeight(uint64_t prefix, uint64_t endpoint)
 {
     // The finalizer of SplitMix64 (Steele, Lea and Flood, 2014).
--- a/include/sequoiagate/Decisions/WorkItem.h
+++ b/include/sequoiagate/Decisions/WorkItem.h
@@ -1,7 +1,7 @@
 #ifndef SEQUOIAGATE_DECISIONS_WORKITEM_H
 #define SEQUOIAGATE_DECISIONS_WORKITEM_H
 
-/// What the decisions know of a request.
+/// The request properties that the decisions take as input.
 
 #include <cstdint>
 
@@ -11,8 +11,8 @@
 namespace sequoiagate {
 
 enum class WorkClass {
-    Interactive, ///< a Chat Turn: somebody waits for its first token
-    Batch,       ///< an Assessment: long, waited for in the background
+    Interactive, ///< a chat turn: a user waits for its first token
+    Batch,       ///< an assessment: long, runs in the background
 };
 
 struct WorkItem
@@ -23,13 +23,12 @@
     WorkClass workClass = WorkClass::Interactive;
     uint64_t promptTokens = 0;
     uint64_t outputCeiling = 0;
-    uint64_t cacheablePrefixTokens =
-            0;               ///< of the prompt, that an endpoint may have cached; 0: unknown
-    uint64_t prefixHash = 0; ///< stable hash of the prompt's first block; 0: none
+    uint64_t cacheablePrefixTokens = 0; ///< prompt tokens an endpoint may have cached; 0: unknown
+    uint64_t prefixHash = 0;            ///< stable hash of the prompt's first block; 0: none
     bool idempotent = true;
-    double weight = 1.0; ///< of its workspace, for fair shares
+    double weight = 1.0; ///< of its workspace, for fair queueing
     Instant arrivedAt;
-    Instant deadline = Never; ///< it is given up, and answered, when it still waits then
+    Instant deadline = Never; ///< a request that still waits then is refused
 };
 
 } // namespace sequoiagate
--- a/lib/Decisions/Admission.cpp
+++ b/lib/Decisions/Admission.cpp
@@ -9,55 +9,55 @@
 
 constexpr WorkClass Classes[] = {WorkClass::Interactive, WorkClass::Batch};
 
-/// A request that waits is given up when its expected wait is this many times what it
-/// has left. Above 1, since the drain rate is a mean and the next ends may come sooner:
-/// giving up what would have run is a false refusal.
-constexpr double HopelessFactor = 1.5;
-
-/// Ends over which the mean time in a slot is taken: at the design size some 4 seconds
-/// of them, and a mean within 10% for times that vary as exponential ones do.
-constexpr uint32_t HeldSamples = 100;
-
-/// Bounds of the wait that a refusal names. Below the shortest a client merely polls;
-/// past the longest the drain rate says nothing any more.
-constexpr Interval ShortestComeBack = std::chrono::milliseconds(250);
-constexpr Interval LongestComeBack = std::chrono::seconds(120);
-
-/// Those refused return at this part of the drain rate, so that callers who come for the
-/// first time find room beside them. A tenfold burst was felt by new callers for 1 to 5 s
-/// at this part, for 5 to 7 s at a quarter, for over 20 s at 0.4 (bench-Decisions burst,
-/// five seeds).
-constexpr double PartForReturns = 0.2;
-
-/// A refusal says that slots are short for so long.
-constexpr Interval ContentionLasts = std::chrono::seconds(10);
-/// With fewer slots one kept free would be a large part of them.
-constexpr uint32_t FewestSlotsReserved = 20;
+/// A waiting request is dropped when its expected wait is this many times the time left
+/// until its deadline. Above 1, since the drain rate is a mean and the next slots may become
+/// free sooner: a request dropped although it would have run is refused needlessly.
+constexpr double OverdueFactor = 1.5;
+
+/// Number of finished requests over which the mean slot hold time is taken: about 4 seconds
+/// of them at the design size, and a mean within 10% for exponentially distributed times.
+constexpr uint32_t SlotHoldSamples = 100;
+
+/// Bounds of the retry delay that a refusal names. Below the minimum a client merely polls;
+/// beyond the maximum the drain rate isn't a useful prediction.
+constexpr Interval MinRetryDelay = std::chrono::milliseconds(250);
+constexpr Interval MaxRetryDelay = std::chrono::seconds(120);
+
+/// Refused callers are scheduled to retry at this fraction of the drain rate, which leaves
+/// capacity for new callers. A tenfold burst affected new callers for 1 to 5 s with this
+/// fraction, for 5 to 7 s with 0.25 and for over 20 s with 0.4 (bench-Decisions burst, five
+/// seeds).
+constexpr double RetryRateFraction = 0.2;
+
+/// Slots count as contended for this time after a refusal.
+constexpr Interval ContentionDuration = std::chrono::seconds(10);
+/// With fewer slots, a single reserved one would be a large share of them.
+constexpr uint32_t MinSlotsForReserve = 20;
 
 const char *detailOf(Reason reason)
 {
     switch (reason) {
     case Reason::QueueTimeout:
-        return "it would not have been served before its end of waiting";
+        return "the request would not have been served before its deadline";
     case Reason::RateShare:
-        return "the workspace is beyond its fair share while others wait";
+        return "the workspace exceeds its fair share while other workspaces wait";
     default:
-        return "too many requests wait";
+        return "too many requests are waiting";
     }
 }
 
 } // namespace
 
 Admission::Admission(AdmissionSettings settings)
-    : settings_(settings), startLimit_(settings.startTarget), promptTokens_(HeldSamples),
-      heldSeconds_(HeldSamples), jitter_(settings.seed)
+    : settings_(settings), prefillLimit_(settings.firstTokenTarget), promptTokens_(SlotHoldSamples),
+      slotHoldSeconds_(SlotHoldSamples), jitter_(settings.seed)
 {}
 
 AdmissionOutcome Admission::offer(const WorkItem &item, Instant now)
 {
-    const bool free = queueOf(item.workClass).empty() && mayRun(item.workClass);
-    if (free && !lastSlotsClosedTo(item, now)) {
-        queueOf(item.workClass).chargeServed(item);
+    const bool canStart = queueOf(item.workClass).empty() && mayRun(item.workClass);
+    if (canStart && !isBlockedByReserve(item, now)) {
+        queueOf(item.workClass).chargeUnqueued(item);
         start(item, now);
         return Admitted{item.request};
     }
@@ -67,60 +67,64 @@
 AdmissionOutcome Admission::enqueue(const WorkItem &item, Instant now)
 {
     FairQueue &queue = queueOf(item.workClass);
-    const Interval patience = item.workClass == WorkClass::Interactive
-                                      ? std::min(settings_.interactiveWait, settings_.maximumWait)
-                                      : settings_.maximumWait;
-    const Instant until = std::min(item.deadline, now + patience);
+    const Interval maxWait = item.workClass == WorkClass::Interactive
+                                     ? std::min(settings_.interactiveWait, settings_.maximumWait)
+                                     : settings_.maximumWait;
+    const Instant deadline = std::min(item.deadline, now + maxWait);
     const std::size_t ahead = queue.ahead(item);
-    // One may always wait: with few slots the drain rate is too coarse to refuse on.
-    const bool tooLate = ahead > 0 && expectedStart(ahead, item.workClass, now) > until;
-    if (until <= now || tooLate) {
-        return refusal(crowdingReason(item), now);
+    // One request may always wait: with few slots the drain rate is too coarse a basis for
+    // a refusal.
+    const bool wouldExpire = ahead > 0 && expectedStart(ahead, item.workClass, now) > deadline;
+    if (deadline <= now || wouldExpire) {
+        return refusal(refusalReason(item), now);
     }
-    if (waiting() >= settings_.queueLimit && !makeRoom(item, now)) {
-        return refusal(crowdingReason(item), now);
+    if (waiting() >= settings_.queueLimit && !evictFor(item, now)) {
+        return refusal(refusalReason(item), now);
     }
-    queue.push(item, until);
-    return Queued{until};
+    queue.push(item, deadline);
+    return Queued{deadline};
 }
 
-bool Admission::makeRoom(const WorkItem &item, Instant now)
+bool Admission::evictFor(const WorkItem &item, Instant now)
 {
     const bool interactive = item.workClass == WorkClass::Interactive;
     const double share =
             interactive ? settings_.interactiveShare : 1.0 - settings_.interactiveShare;
     FairQueue &own = queueOf(item.workClass);
-    // A class may fill the whole queue, but gives up what is beyond its part to the
-    // other: a flood of batch work would else turn every Chat Turn away.
-    const bool classHasRoom = static_cast<double>(own.size()) < share * settings_.queueLimit;
-    FairQueue &victims =
-            classHasRoom ? queueOf(interactive ? WorkClass::Batch : WorkClass::Interactive) : own;
-    if (victims.empty() || (&victims == &own && own.wouldBeLast(item))) {
+    // A class may fill the whole queue, but requests beyond its share are evicted in favor
+    // of the other class: otherwise a flood of batch requests would cause the refusal of
+    // every interactive one.
+    const bool classBelowShare = static_cast<double>(own.size()) < share * settings_.queueLimit;
+    FairQueue &evictionQueue =
+            classBelowShare ? queueOf(interactive ? WorkClass::Batch : WorkClass::Interactive)
+                            : own;
+    if (evictionQueue.empty() || (&evictionQueue == &own && own.wouldBeLast(item))) {
         return false;
     }
-    const QueueEntry last = *victims.popLast();
-    displaced_.push_back({last.item.request, false, refusal(Reason::RateShare, now)});
-    displacedAt_ = std::min(displacedAt_, now);
+    const QueueEntry last = *evictionQueue.popLast();
+    evicted_.push_back({last.item.request, false, refusal(Reason::RateShare, now)});
+    evictedAt_ = std::min(evictedAt_, now);
     return true;
 }
 
 void Admission::onFirstToken(const RequestId &request, Instant now)
 {
-    firstTokensTold_ = true;
+    firstTokensReported_ = true;
     const auto found = running_.find(request);
-    if (found == running_.end() || !found->second.starting) {
+    if (found == running_.end() || !found->second.prefilling) {
         return;
     }
     Running &started = found->second;
-    // A long prompt's first token is late by itself and says nothing of the others.
-    constexpr double LongFactor = 4.0;
+    // A long prompt's first token is late because of its length and says nothing about the
+    // prefill load.
+    constexpr double LongPromptFactor = 4.0;
     const double tokens = static_cast<double>(started.promptTokens);
-    if (tokens <= LongFactor * std::max(promptTokens_.mean(), 1.0)) {
-        startLimit_.onFirstToken(now - started.startedAt, starting_, now);
+    if (tokens <= LongPromptFactor * std::max(promptTokens_.mean(), 1.0)) {
+        prefillLimit_.onFirstToken(now - started.startedAt, prefilling_, now);
     }
     promptTokens_.add(tokens);
-    started.starting = false;
-    --starting_;
+    started.prefilling = false;
+    --prefilling_;
 }
 
 void Admission::finished(const RequestId &request, uint64_t tokensServed, Instant now)
@@ -131,14 +135,14 @@
     }
     const Running &ended = found->second;
     queueOf(ended.workClass)
-            .settle(ended.workspace, ended.expectedCost, static_cast<double>(tokensServed),
-                    ended.weight);
+            .adjustCost(ended.workspace, ended.expectedCost, static_cast<double>(tokensServed),
+                        ended.weight);
     interactiveRunning_ -= ended.workClass == WorkClass::Interactive ? 1 : 0;
-    starting_ -= ended.starting ? 1 : 0;
-    heldSeconds_.add(secondsOf(now - ended.startedAt));
-    const auto holding = holdings_.find(ended.workspace);
-    if (--holding->second.slots == 0) {
-        holdings_.erase(holding);
+    prefilling_ -= ended.prefilling ? 1 : 0;
+    slotHoldSeconds_.add(secondsOf(now - ended.startedAt));
+    const auto usage = slotUsage_.find(ended.workspace);
+    if (--usage->second.slots == 0) {
+        slotUsage_.erase(usage);
     }
     running_.erase(found);
 }
@@ -157,31 +161,31 @@
 
 std::vector<QueueRelease> Admission::poll(Instant now)
 {
-    std::vector<QueueRelease> released = std::move(displaced_);
-    displaced_.clear();
-    displacedAt_ = Never;
-    // Deadlines first: a request that is past its own is not sent any more.
+    std::vector<QueueRelease> released = std::move(evicted_);
+    evicted_.clear();
+    evictedAt_ = Never;
+    // Drop overdue requests first, so that none is admitted after its deadline.
     for (const WorkClass workClass : Classes) {
-        giveUp(workClass, released, now);
+        dropOverdue(workClass, released, now);
     }
     admitWaiting(released, now);
     return released;
 }
 
-void Admission::giveUp(WorkClass workClass, std::vector<QueueRelease> &released, Instant now)
+void Admission::dropOverdue(WorkClass workClass, std::vector<QueueRelease> &released, Instant now)
 {
     const double rate = classRate(workClass);
-    const auto hopeless = [&](const QueueEntry &entry, std::size_t position) {
-        if (entry.until <= now) {
+    const auto isOverdue = [&](const QueueEntry &entry, std::size_t position) {
+        if (entry.deadline <= now) {
             return true;
         }
         if (position == 0 || rate <= 0.0) {
             return false;
         }
         const Interval wait = intervalOf(static_cast<double>(position) / rate);
-        return wait > (entry.until - now) * HopelessFactor;
+        return wait > (entry.deadline - now) * OverdueFactor;
     };
-    for (const QueueEntry &entry : queueOf(workClass).takeIf(hopeless)) {
+    for (const QueueEntry &entry : queueOf(workClass).extractIf(isOverdue)) {
         released.push_back({entry.item.request, false, refusal(Reason::QueueTimeout, now)});
     }
 }
@@ -189,7 +193,7 @@
 void Admission::admitWaiting(std::vector<QueueRelease> &released, Instant now)
 {
     const auto allowed = [&](const QueueEntry &entry) {
-        return !lastSlotsClosedTo(entry.item, now);
+        return !isBlockedByReserve(entry.item, now);
     };
     while (const std::optional<WorkClass> next = nextClass()) {
         const bool contended = !interactive_.empty() && !batch_.empty();
@@ -205,20 +209,20 @@
     }
 }
 
-bool Admission::lastSlotsClosedTo(const WorkItem &item, Instant now) const
+bool Admission::isBlockedByReserve(const WorkItem &item, Instant now) const
 {
     const auto reserve =
-            static_cast<std::size_t>(std::ceil(settings_.smallReserve * settings_.slots));
-    const bool plenty = running_.size() + reserve < settings_.slots;
-    if (plenty || now >= contendedUntil_ || settings_.slots < FewestSlotsReserved) {
+            static_cast<std::size_t>(std::ceil(settings_.smallWorkspaceReserve * settings_.slots));
+    const bool enoughFree = running_.size() + reserve < settings_.slots;
+    if (enoughFree || now >= contendedUntil_ || settings_.slots < MinSlotsForReserve) {
         return false;
     }
-    const auto own = holdings_.find(item.workspace);
-    if (own == holdings_.end() || holdings_.size() == 1) {
+    const auto own = slotUsage_.find(item.workspace);
+    if (own == slotUsage_.end() || slotUsage_.size() == 1) {
         return false;
     }
     const double held = own->second.slots / own->second.weight;
-    return std::all_of(holdings_.begin(), holdings_.end(), [&](const auto &other) {
+    return std::all_of(slotUsage_.begin(), slotUsage_.end(), [&](const auto &other) {
         return other.first == item.workspace || other.second.slots / other.second.weight < held;
     });
 }
@@ -241,25 +245,25 @@
 
 void Admission::chargeClass(WorkClass workClass, double cost)
 {
-    constexpr double SmallestShare = 0.01;
+    constexpr double MinShare = 0.01;
     const bool interactive = workClass == WorkClass::Interactive;
     const double share =
             interactive ? settings_.interactiveShare : 1.0 - settings_.interactiveShare;
     double &finish = interactive ? classShares_.interactiveFinish : classShares_.batchFinish;
     classShares_.virtualTime = std::max(classShares_.virtualTime, finish);
-    finish = classShares_.virtualTime + cost / std::max(share, SmallestShare);
+    finish = classShares_.virtualTime + cost / std::max(share, MinShare);
 }
 
 bool Admission::mayRun(WorkClass workClass) const
 {
-    const bool startsAreFull = firstTokensTold_ && starting_ >= startLimit_.limit();
-    if (running_.size() >= settings_.slots || startsAreFull) {
+    const bool prefillIsFull = firstTokensReported_ && prefilling_ >= prefillLimit_.limit();
+    if (running_.size() >= settings_.slots || prefillIsFull) {
         return false;
     }
     if (workClass == WorkClass::Interactive) {
         return true;
     }
-    // At least one, or batch work would never run on a router with few slots.
+    // At least one, or batch requests would never run on a router with few slots.
     const uint32_t reserve = static_cast<uint32_t>(settings_.interactiveReserve * settings_.slots);
     const std::size_t batchRunning = running_.size() - interactiveRunning_;
     return batchRunning < std::max<uint32_t>(settings_.slots - reserve, 1);
@@ -270,25 +274,26 @@
     running_.emplace(item.request,
                      Running{item.workspace, item.workClass, FairQueue::expectedCost(item),
                              item.weight, item.promptTokens, now, true});
-    ++starting_;
-    Holding &holding = holdings_[item.workspace];
-    ++holding.slots;
-    holding.weight = std::max(item.weight, 1e-3);
+    ++prefilling_;
+    SlotUsage &usage = slotUsage_[item.workspace];
+    ++usage.slots;
+    usage.weight = std::max(item.weight, 1e-3);
     interactiveRunning_ += item.workClass == WorkClass::Interactive ? 1 : 0;
 }
 
-double Admission::slotRate() const
+double Admission::slotReleaseRate() const
 {
-    constexpr double ShortestHeld = 1e-3;
-    return heldSeconds_.samples() == 0
+    constexpr double MinHoldSeconds = 1e-3;
+    return slotHoldSeconds_.samples() == 0
                    ? 0.0
-                   : settings_.slots / std::max(heldSeconds_.mean(), ShortestHeld);
+                   : settings_.slots / std::max(slotHoldSeconds_.mean(), MinHoldSeconds);
 }
 
 double Admission::drainRate() const
 {
-    const bool slotsAreFree = running_.size() < settings_.slots;
-    return slotsAreFree && firstTokensTold_ ? startLimit_.perSecond() : slotRate();
+    const bool hasFreeSlots = running_.size() < settings_.slots;
+    return hasFreeSlots && firstTokensReported_ ? prefillLimit_.startsPerSecond()
+                                                : slotReleaseRate();
 }
 
 double Admission::classRate(WorkClass workClass) const
@@ -304,44 +309,47 @@
 Instant Admission::expectedStart(std::size_t ahead, WorkClass workClass, Instant now) const
 {
     const double rate = classRate(workClass);
-    // Nothing has ended yet, so nothing is known: wait, and be given up in time.
+    // No request has finished yet, so the rate is unknown: let the request wait until its
+    // deadline.
     return rate <= 0.0 ? now : now + intervalOf(static_cast<double>(ahead) / rate);
 }
 
-Reason Admission::crowdingReason(const WorkItem &item) const
+Reason Admission::refusalReason(const WorkItem &item) const
 {
     const FairQueue &queue = queueOf(item.workClass);
-    const std::size_t fairPart = queue.size() / std::max<std::size_t>(queue.waitingWorkspaces(), 1);
+    const std::size_t fairShare =
+            queue.size() / std::max<std::size_t>(queue.waitingWorkspaces(), 1);
     const bool alone = queue.waitingWorkspaces() <= 1 && queue.waitingOf(item.workspace) > 0;
-    return !alone && queue.waitingOf(item.workspace) > fairPart ? Reason::RateShare
-                                                                : Reason::QueueFull;
+    return !alone && queue.waitingOf(item.workspace) > fairShare ? Reason::RateShare
+                                                                 : Reason::QueueFull;
 }
 
 Verdict Admission::refusal(Reason reason, Instant now)
 {
-    contendedUntil_ = now + ContentionLasts;
-    return {Execution::NotRun, reason, detailOf(reason), comeBackAt(now)};
+    contendedUntil_ = now + ContentionDuration;
+    return {Execution::NotRun, reason, detailOf(reason), nextRetryTime(now)};
 }
 
-Instant Admission::comeBackAt(Instant now)
+Instant Admission::nextRetryTime(Instant now)
 {
-    // What slots sustain: the pace of starts lasts only while slots are free.
-    const double pace = std::max(slotRate(), 1.0) * PartForReturns;
-    nextReturnAt_ = std::max(nextReturnAt_, now + ShortestComeBack) + intervalOf(1.0 / pace);
-    // The schedule keeps them apart; the jitter keeps clients of other routers, whose
-    // schedules began in the same moment, from meeting them.
+    // Use the rate at which slots are released: the prefill rate holds only while slots are
+    // free.
+    const double retryRate = std::max(slotReleaseRate(), 1.0) * RetryRateFraction;
+    nextRetryAt_ = std::max(nextRetryAt_, now + MinRetryDelay) + intervalOf(1.0 / retryRate);
+    // The schedule separates this router's callers; the jitter separates them from those of
+    // other routers, whose schedules may have begun at the same moment.
     std::uniform_real_distribution<double> jitter(0.75, 1.25);
-    if (nextReturnAt_ <= now + LongestComeBack) {
-        return now + intervalOf(secondsOf(nextReturnAt_ - now) * jitter(jitter_));
+    if (nextRetryAt_ <= now + MaxRetryDelay) {
+        return now + intervalOf(secondsOf(nextRetryAt_ - now) * jitter(jitter_));
     }
-    nextReturnAt_ = now + LongestComeBack;
-    std::uniform_real_distribution<double> late(0.5, 1.0);
-    return now + intervalOf(secondsOf(LongestComeBack) * late(jitter_));
+    nextRetryAt_ = now + MaxRetryDelay;
+    std::uniform_real_distribution<double> lateJitter(0.5, 1.0);
+    return now + intervalOf(secondsOf(MaxRetryDelay) * lateJitter(jitter_));
 }
 
 Instant Admission::nextDeadline() const
 {
-    return std::min({displacedAt_, interactive_.nextDeadline(), batch_.nextDeadline()});
+    return std::min({evictedAt_, interactive_.nextDeadline(), batch_.nextDeadline()});
 }
 
 uint32_t Admission::inFlight() const
--- a/lib/Decisions/DistributedRetryBudget.cpp
+++ b/lib/Decisions/DistributedRetryBudget.cpp
@@ -16,7 +16,7 @@
 void DistributedRetryBudget::expire(Counts &counts, Instant now) const
 {
     dropBefore(counts.requests, now - settings_.window);
-    dropBefore(counts.repeats, now - settings_.window);
+    dropBefore(counts.retries, now - settings_.window);
 }
 
 void DistributedRetryBudget::onRequest(const ServiceId &service, Instant now)
@@ -31,11 +31,11 @@
     Counts &counts = services_[service];
     expire(counts, now);
     const double bound = settings_.ratio * static_cast<double>(counts.requests.size())
-                         + settings_.baseRetries / processes_;
-    if (static_cast<double>(counts.repeats.size() + 1) > settings_.usableFraction * bound) {
+                         + settings_.baseRetries / processCount_;
+    if (static_cast<double>(counts.retries.size() + 1) > settings_.usableFraction * bound) {
         return false;
     }
-    counts.repeats.push_back(now);
+    counts.retries.push_back(now);
     return true;
 }
 
--- a/lib/Decisions/EndpointLoad.cpp
+++ b/lib/Decisions/EndpointLoad.cpp
@@ -2,46 +2,46 @@
 
 namespace sequoiagate {
 
-void EndpointLoad::dropUntil(Instant until)
+void EndpointLoad::dropChangesUntil(Instant until)
 {
     while (!changes_.empty() && changes_.front().at <= until) {
-        since_ -= changes_.front().requests;
+        changeSinceReport_ -= changes_.front().requests;
         changes_.pop_front();
     }
 }
 
-void EndpointLoad::record(int requests, Instant now)
+void EndpointLoad::recordChange(int requests, Instant now)
 {
-    // What is older than a report may be is never asked for again.
-    dropUntil(now - ReportLifetime);
+    // Changes older than ReportLifetime precede any report that is still used.
+    dropChangesUntil(now - ReportLifetime);
     changes_.push_back({now, requests});
-    since_ += requests;
+    changeSinceReport_ += requests;
 }
 
 void EndpointLoad::onSent(Instant now)
 {
-    ++own_;
-    record(1, now);
+    ++ownRequests_;
+    recordChange(1, now);
 }
 
 void EndpointLoad::onEnd(Instant now)
 {
-    if (own_ == 0) {
+    if (ownRequests_ == 0) {
         return;
     }
-    --own_;
-    record(-1, now);
+    --ownRequests_;
+    recordChange(-1, now);
 }
 
 void EndpointLoad::onReport(const LoadReport &report)
 {
-    if (reported_ && report.observedAt < report_.observedAt) {
+    if (hasReport_ && report.observedAt < report_.observedAt) {
         return;
     }
     report_ = report;
-    reported_ = true;
+    hasReport_ = true;
     reportExpiresAt_ = report.observedAt + ReportLifetime;
-    dropUntil(report.observedAt);
+    dropChangesUntil(report.observedAt);
 }
 
 } // namespace sequoiagate
--- a/lib/Decisions/EndpointSelector.cpp
+++ b/lib/Decisions/EndpointSelector.cpp
@@ -11,18 +11,18 @@
 namespace {
 
 constexpr Interval RetryAfterNoEndpoint = std::chrono::seconds(1);
-/// Expected wait for each request beyond an endpoint's slots: about what it takes until
-/// one of some 150 streams of 13 s ends.
+/// Expected wait for each request beyond an endpoint's slots: about the time until one of
+/// 150 streams of 13 s ends.
 constexpr double OverflowSeconds = 0.1;
-/// Makes equal costs differ by load: far below a prefill, so that it decides ties only.
-constexpr double FillSeconds = 0.01;
-/// Behind a long prompt a short request waits seconds: lanes come last.
-constexpr double LaneSeconds = 5.0;
+/// Breaks ties between equal costs by utilization: far below the time of a prefill.
+constexpr double UtilizationSeconds = 0.01;
+/// Cost of a short request in a lane: behind a long prompt it waits seconds.
+constexpr double WrongLaneSeconds = 5.0;
 constexpr double KvPressureSeconds = 0.5;
-/// Part of the prompt that is spared when its prefix is cached; engines don't tell.
-constexpr double PrefixPart = 0.8;
-/// From here on a late first token may be due to other routers' requests, of which this
-/// one hasn't heard: reports lag by about a second, in which 7% of the slots change hands.
+/// Assumed share of the prompt that a cached prefix saves; engines don't report it.
+constexpr double CachedPrefixShare = 0.8;
+/// Utilization from which a late first token may be due to other routers' requests that no
+/// report shows yet: reports lag by about a second, in which 7% of the slots are reassigned.
 constexpr double NearlyFull = 0.9;
 constexpr uint32_t RoundTripSamples = 32;
 
@@ -49,7 +49,7 @@
         updated.back().hash = stableHash(spec.id.text());
         updated.back().local = spec.domain == self_;
         if (known == nullptr && !firstSet) {
-            updated.back().health.startRamp(now, settings_.health);
+            updated.back().health.beginSlowStart(now, settings_.health);
         }
     }
     endpoints_ = std::move(updated);
@@ -69,7 +69,7 @@
 }
 
 SelectionOutcome EndpointSelector::select(const WorkItem &item,
-                                          const std::vector<EndpointId> &tried, Instant now)
+                                          const std::vector<EndpointId> &attempted, Instant now)
 {
     const auto found = services_.find(item.service);
     if (found == services_.end()) {
@@ -78,48 +78,48 @@
     }
     Service &service = found->second;
     reviewHealth(service, now);
-    const bool isLong = settings_.longWorkLanes && tried.empty()
-                        && service.longWork.classify(item.promptTokens, now);
-    if (Endpoint *probed = probe(service, item, isLong, tried, now); probed != nullptr) {
+    const bool isLong = settings_.longPromptLanes && attempted.empty()
+                        && service.longPrompts.classify(item.promptTokens, now);
+    if (Endpoint *probed = selectProbe(service, item, isLong, attempted, now); probed != nullptr) {
         return SelectedEndpoint{probed->spec.id, "probe"};
     }
-    gather(service, tried, now);
+    collectCandidates(service, attempted, now);
     if (candidates_.empty()) {
-        if (Endpoint *last = lastResort(service, tried, now); last != nullptr) {
+        if (Endpoint *last = lastResort(service, attempted, now); last != nullptr) {
             return SelectedEndpoint{last->spec.id, "last_resort"};
         }
-        return noEndpoint(service, tried, now);
+        return noEndpointVerdict(service, attempted, now);
     }
     markLanes(service, item.service, now);
-    if (worthTheWay(item)) {
-        return SelectedEndpoint{amongHomes(item, now).endpoint->spec.id, "prefix_home"};
+    if (prefixOutweighsRoundTrip(item)) {
+        return SelectedEndpoint{selectHome(item, now).endpoint->spec.id, "prefix_home"};
     }
     for (const bool localOnly : {true, false}) {
-        markRoomy(isLong, localOnly, now);
-        if (const std::optional<SelectedEndpoint> chosen = chooseRoomy(item, localOnly, now)) {
+        markEligible(isLong, localOnly, now);
+        if (const std::optional<SelectedEndpoint> chosen = selectEligible(item, localOnly, now)) {
             return *chosen;
         }
     }
     return SelectedEndpoint{leastCost(item, isLong, now)->endpoint->spec.id, "least_cost"};
 }
 
-bool EndpointSelector::worthTheWay(const WorkItem &item) const
+bool EndpointSelector::prefixOutweighsRoundTrip(const WorkItem &item) const
 {
-    const double spared =
+    const double savedSeconds =
             static_cast<double>(item.cacheablePrefixTokens) / settings_.prefillTokensPerSecond;
     return settings_.prefixHomes > 0 && item.prefixHash != 0
-           && spared > secondsOf(settings_.roundTripElsewhere);
+           && savedSeconds > secondsOf(settings_.defaultRoundTrip);
 }
 
 double EndpointSelector::loadSeconds(const Candidate &candidate)
 {
-    // Prompts that wait for their first token, and a little for each open stream.
+    // Prompts that wait for their first token, and a small amount for each open stream.
     constexpr double StreamSeconds = 0.02;
     return secondsOf(candidate.endpoint->health.pendingWork())
-           + StreamSeconds * candidate.endpoint->load.own();
+           + StreamSeconds * candidate.endpoint->load.ownRequests();
 }
 
-const EndpointSelector::Candidate &EndpointSelector::amongHomes(const WorkItem &item, Instant now)
+const EndpointSelector::Candidate &EndpointSelector::selectHome(const WorkItem &item, Instant now)
 {
     double mean = 0.0;
     for (const Candidate &candidate : candidates_) {
@@ -130,22 +130,26 @@
                   return affinityWeight(item.prefixHash, a.endpoint->hash)
                          > affinityWeight(item.prefixHash, b.endpoint->hash);
               });
-    // One request's prefill is always allowed above the bound.
-    const double bound = settings_.homeBound * mean + secondsOf(expectedPrefill(item.promptTokens));
-    // What the first home has read another reads again, unless it was sent the prefix before.
-    // Where a router has less than one request at an endpoint it doesn't see how full that is;
-    // all would keep to the first home, whose callers wait while the second one idles.
-    const double again = settings_.rereadWeight * static_cast<double>(item.cacheablePrefixTokens)
-                         / settings_.prefillTokensPerSecond;
-    const double routers = std::max(settings_.routerCount, 1U);
+    // Always allow one request's prefill above the bound.
+    const double bound =
+            settings_.homeLoadBound * mean + secondsOf(expectedPrefill(item.promptTokens));
+    // A home other than the first must prefill the prefix again, unless it was sent the prefix
+    // before. A router with less than one request per endpoint can't observe an endpoint's load,
+    // so the cost is scaled down: otherwise all routers would use the first home, whose callers
+    // would wait while the second one idles.
+    const double prefixMissCost = settings_.prefixMissWeight
+                                  * static_cast<double>(item.cacheablePrefixTokens)
+                                  / settings_.prefillTokensPerSecond;
+    const double routerCount = std::max(settings_.routerCount, 1U);
     const Candidate *best = nullptr;
     double bestCost = 0.0;
     uint32_t seen = 0;
     for (const Candidate &candidate : candidates_) {
-        const bool holds =
-                seen == 0 || affinity_.believes(item.prefixHash, candidate.endpoint->hash, now);
-        const double seenPart = std::min(1.0, candidate.slots / routers);
-        const double cost = loadSeconds(candidate) + (holds ? 0.0 : seenPart * again);
+        const bool isHolder =
+                seen == 0 || affinity_.hasHolder(item.prefixHash, candidate.endpoint->hash, now);
+        const double observedShare = std::min(1.0, candidate.slots / routerCount);
+        const double cost =
+                loadSeconds(candidate) + (isHolder ? 0.0 : observedShare * prefixMissCost);
         if (best == nullptr || cost < bestCost) {
             best = &candidate;
             bestCost = cost;
@@ -192,57 +196,59 @@
     return Names[static_cast<std::size_t>(usability)];
 }
 
-void EndpointSelector::gather(const Service &service, const std::vector<EndpointId> &tried,
-                              Instant now)
+void EndpointSelector::collectCandidates(const Service &service,
+                                         const std::vector<EndpointId> &attempted, Instant now)
 {
     candidates_.clear();
     double reported = 0.0;
-    double ownWhenReported = 0.0;
+    double ownAtReport = 0.0;
     for (const std::size_t i : service.endpoints) {
         Endpoint &endpoint = endpoints_[i];
-        if (usability(endpoint, now) != Usability::Usable || contains(tried, endpoint.spec.id)) {
+        if (usability(endpoint, now) != Usability::Usable
+            || contains(attempted, endpoint.spec.id)) {
             continue;
         }
         const EndpointLoad &load = endpoint.load;
-        const double slots = std::max(endpoint.spec.slots, 1U) * endpoint.health.rampShare(now);
-        reported += load.reported(now);
-        ownWhenReported += load.ownWhenReported(now);
+        const double slots =
+                std::max(endpoint.spec.slots, 1U) * endpoint.health.slowStartShare(now);
+        reported += load.reportedRequests(now);
+        ownAtReport += load.ownRequestsAtReport(now);
         candidates_.push_back({&endpoint, slots, load.requests(now) / slots,
-                               (load.own() + 1) / slots, endpoint.local});
+                               (load.ownRequests() + 1) / slots, endpoint.local});
     }
-    ownPart_ = partOf(ownWhenReported, reported);
+    ownShare_ = shareOf(ownAtReport, reported);
     for (Candidate &candidate : candidates_) {
-        candidate.ownFill /= ownPart_;
+        candidate.ownUtilization /= ownShare_;
     }
 }
 
 EndpointSelector::Endpoint *EndpointSelector::lastResort(const Service &service,
-                                                         const std::vector<EndpointId> &tried,
+                                                         const std::vector<EndpointId> &attempted,
                                                          Instant now)
 {
-    // A slow or doubtful endpoint is better than none.
+    // A slow or unconfirmed endpoint is better than none.
     Endpoint *best = nullptr;
     for (const std::size_t i : service.endpoints) {
         Endpoint &endpoint = endpoints_[i];
-        const Usability how = usability(endpoint, now);
-        const bool possible = how == Usability::Ejected || how == Usability::Probing;
-        if (!possible || contains(tried, endpoint.spec.id)) {
+        const Usability state = usability(endpoint, now);
+        const bool isFallback = state == Usability::Ejected || state == Usability::Probing;
+        if (!isFallback || contains(attempted, endpoint.spec.id)) {
             continue;
         }
-        if (best == nullptr || endpoint.load.own() < best->load.own()) {
+        if (best == nullptr || endpoint.load.ownRequests() < best->load.ownRequests()) {
             best = &endpoint;
         }
     }
     return best;
 }
 
-EndpointSelector::Endpoint *EndpointSelector::probe(const Service &service, const WorkItem &item,
-                                                    bool isLong,
-                                                    const std::vector<EndpointId> &tried,
-                                                    Instant now)
+EndpointSelector::Endpoint *EndpointSelector::selectProbe(const Service &service,
+                                                          const WorkItem &item, bool isLong,
+                                                          const std::vector<EndpointId> &attempted,
+                                                          Instant now)
 {
-    // A first try that can be made again, and whose wait is short if all is well.
-    if (!service.outliers.someOut() || !item.idempotent || isLong || !tried.empty()) {
+    // Only first attempts that can be retried, and that are short if the endpoint is healthy.
+    if (!service.outliers.anyOutOfService() || !item.idempotent || isLong || !attempted.empty()) {
         return nullptr;
     }
     for (const std::size_t i : service.endpoints) {
@@ -256,12 +262,13 @@
 
 void EndpointSelector::markLanes(const Service &service, const ServiceId &name, Instant now)
 {
-    double fill = 0.0;
+    double utilization = 0.0;
     for (const Candidate &candidate : candidates_) {
-        fill += candidate.fill / static_cast<double>(candidates_.size());
+        utilization += candidate.utilization / static_cast<double>(candidates_.size());
     }
-    const std::size_t lanes = service.longWork.lanes(candidates_.size(), fill, now);
-    if (lanes == 0) {
+    const std::size_t laneCount =
+            service.longPrompts.laneCount(candidates_.size(), utilization, now);
+    if (laneCount == 0) {
         return;
     }
     const uint64_t key = stableHash(name.text());
@@ -270,58 +277,62 @@
     for (std::size_t i = 0; i < candidates_.size(); ++i) {
         order.emplace_back(affinityWeight(key, candidates_[i].endpoint->hash), i);
     }
-    const auto end = order.begin() + static_cast<std::ptrdiff_t>(lanes);
+    const auto end = order.begin() + static_cast<std::ptrdiff_t>(laneCount);
     std::nth_element(order.begin(), end - 1, order.end(), std::greater<>());
     for (auto entry = order.begin(); entry != end; ++entry) {
         candidates_[entry->second].lane = true;
     }
 }
 
-void EndpointSelector::markRoomy(bool isLong, bool localOnly, Instant now)
+void EndpointSelector::markEligible(bool isLong, bool localOnly, Instant now)
 {
     double sum = 0.0;
     double ownSum = 0.0;
     double count = 0.0;
     for (const Candidate &candidate : candidates_) {
-        // The mean of those that may be chosen: beside idle ones elsewhere, a domain's own
-        // would seem overrun as soon as they had anything to do.
-        const bool considered = candidate.lane == isLong && (candidate.local || !localOnly);
-        const double counts = considered ? 1.0 : 0.0;
-        sum += counts * candidate.fill;
-        ownSum += counts * candidate.ownFill;
+        // The mean of the endpoints in scope: compared with idle ones in other domains, the
+        // local endpoints would seem overloaded as soon as they had any requests.
+        const bool isInScope = candidate.lane == isLong && (candidate.local || !localOnly);
+        const double counts = isInScope ? 1.0 : 0.0;
+        sum += counts * candidate.utilization;
+        ownSum += counts * candidate.ownUtilization;
         count += counts;
     }
     const double bound = std::min(settings_.boundFactor * sum / std::max(count, 1.0), 1.0);
     const double ownBound = std::min(settings_.boundFactor * ownSum / std::max(count, 1.0), 1.0);
     for (Candidate &candidate : candidates_) {
         const Endpoint &endpoint = *candidate.endpoint;
-        // One request is always allowed: near idle, a bound below it would send a prefix
-        // to a cold endpoint each time.
-        const double free = std::max(1.0, settings_.boundExemptShare * candidate.slots
-                                                  / std::max(settings_.routerCount, 1U));
-        const bool first = endpoint.load.own() < free && candidate.fill < 1.0;
-        const bool even = candidate.fill < bound && candidate.ownFill < ownBound;
-        candidate.roomy = candidate.lane == isLong && (candidate.local || !localOnly)
-                          && (even || first) && endpoint.load.report().kvUsed < settings_.kvLimit
-                          && backlog(endpoint, now) <= settings_.prefillBacklogLimit * ownPart_;
+        // Always allow one request: near idle, a bound below one would send a prefix to a
+        // cold endpoint each time.
+        const double exemptRequests = std::max(1.0, settings_.boundExemptShare * candidate.slots
+                                                            / std::max(settings_.routerCount, 1U));
+        const bool isExempt =
+                endpoint.load.ownRequests() < exemptRequests && candidate.utilization < 1.0;
+        const bool isBelowBound =
+                candidate.utilization < bound && candidate.ownUtilization < ownBound;
+        candidate.eligible =
+                candidate.lane == isLong && (candidate.local || !localOnly)
+                && (isBelowBound || isExempt) && endpoint.load.report().kvUsed < settings_.kvLimit
+                && prefillBacklog(endpoint, now) <= settings_.prefillBacklogLimit * ownShare_;
     }
 }
 
-Interval EndpointSelector::backlog(const Endpoint &endpoint, Instant now)
+Interval EndpointSelector::prefillBacklog(const Endpoint &endpoint, Instant now)
 {
-    // By the clock, and by what hasn't come: other routers' prompts are in its way too.
+    // Other routers' prompts may delay this router's beyond their expected end, so requests
+    // without a first token count as well.
     return std::max({endpoint.prefillUntil - now, endpoint.health.pendingWork(), Interval::zero()});
 }
 
-std::optional<SelectedEndpoint> EndpointSelector::chooseRoomy(const WorkItem &item, bool localOnly,
-                                                              Instant now)
+std::optional<SelectedEndpoint> EndpointSelector::selectEligible(const WorkItem &item,
+                                                                 bool localOnly, Instant now)
 {
     if (item.prefixHash != 0) {
-        if (const Candidate *holder = byPrefix(item.prefixHash, true, now)) {
+        if (const Candidate *holder = firstByPrefix(item.prefixHash, true, now)) {
             return SelectedEndpoint{holder->endpoint->spec.id,
                                     localOnly ? "prefix_cached" : "prefix_spill"};
         }
-        if (const Candidate *home = byPrefix(item.prefixHash, false, now)) {
+        if (const Candidate *home = firstByPrefix(item.prefixHash, false, now)) {
             return SelectedEndpoint{home->endpoint->spec.id,
                                     localOnly ? "prefix_home" : "prefix_spill"};
         }
@@ -333,20 +344,20 @@
     return std::nullopt;
 }
 
-const EndpointSelector::Candidate *EndpointSelector::byPrefix(uint64_t prefix, bool holdersOnly,
-                                                              Instant now) const
+const EndpointSelector::Candidate *
+EndpointSelector::firstByPrefix(uint64_t prefix, bool holdersOnly, Instant now) const
 {
     const Candidate *best = nullptr;
     uint64_t bestWeight = 0;
     for (const Candidate &candidate : candidates_) {
-        if (!candidate.roomy) {
+        if (!candidate.eligible) {
             continue;
         }
         const uint64_t weight = affinityWeight(prefix, candidate.endpoint->hash);
         if (best != nullptr && weight <= bestWeight) {
             continue;
         }
-        if (holdersOnly && !affinity_.believes(prefix, candidate.endpoint->hash, now)) {
+        if (holdersOnly && !affinity_.hasHolder(prefix, candidate.endpoint->hash, now)) {
             continue;
         }
         best = &candidate;
@@ -361,7 +372,7 @@
     std::array<const Candidate *, 2> picked = {nullptr, nullptr};
     uint32_t seen = 0;
     for (const Candidate &candidate : candidates_) {
-        if (!candidate.roomy) {
+        if (!candidate.eligible) {
             continue;
         }
         const uint64_t slot = seen < picked.size() ? seen : random_() % (seen + 1);
@@ -379,13 +390,13 @@
 const EndpointSelector::Candidate *EndpointSelector::leastCost(const WorkItem &item, bool isLong,
                                                                Instant now)
 {
-    // Routers that hold the same reports must not all take the same endpoint.
-    std::uniform_real_distribution<double> apart(0.0, OverflowSeconds);
+    // Routers that have the same reports must not all select the same endpoint.
+    std::uniform_real_distribution<double> jitter(0.0, OverflowSeconds);
     const Candidate *best = nullptr;
     double bestCost = 0.0;
     for (const Candidate &candidate : candidates_) {
-        const double wrongLane = candidate.lane != isLong ? LaneSeconds : 0.0;
-        const double total = cost(candidate, item, now) + wrongLane + apart(random_);
+        const double lanePenalty = candidate.lane != isLong ? WrongLaneSeconds : 0.0;
+        const double total = cost(candidate, item, now) + lanePenalty + jitter(random_);
         if (best == nullptr || total < bestCost) {
             best = &candidate;
             bestCost = total;
@@ -398,12 +409,14 @@
 {
     const Endpoint &endpoint = *candidate.endpoint;
     const bool cached =
-            item.prefixHash != 0 && affinity_.believes(item.prefixHash, endpoint.hash, now);
-    const double overflow = std::max((candidate.fill - 1.0) * candidate.slots + 1.0, 0.0);
-    const double ownOverflow = std::max(candidate.ownFill - 1.0, 0.0) * candidate.slots;
-    double seconds = secondsOf(backlog(endpoint, now));
-    seconds += secondsOf(expectedPrefill(item.promptTokens)) * (cached ? 1.0 - PrefixPart : 1.0);
-    seconds += (overflow + ownOverflow) * OverflowSeconds + candidate.fill * FillSeconds;
+            item.prefixHash != 0 && affinity_.hasHolder(item.prefixHash, endpoint.hash, now);
+    const double overflow = std::max((candidate.utilization - 1.0) * candidate.slots + 1.0, 0.0);
+    const double ownOverflow = std::max(candidate.ownUtilization - 1.0, 0.0) * candidate.slots;
+    double seconds = secondsOf(prefillBacklog(endpoint, now));
+    seconds += secondsOf(expectedPrefill(item.promptTokens))
+               * (cached ? 1.0 - CachedPrefixShare : 1.0);
+    seconds +=
+            (overflow + ownOverflow) * OverflowSeconds + candidate.utilization * UtilizationSeconds;
     seconds += candidate.local ? 0.0 : roundTripSeconds(endpoint.spec.domain);
     seconds += endpoint.load.report().kvUsed >= settings_.kvLimit ? KvPressureSeconds : 0.0;
     return seconds;
@@ -418,23 +431,24 @@
 double EndpointSelector::roundTripSeconds(const DomainId &domain) const
 {
     const auto measured = roundTrips_.find(domain);
-    return measured == roundTrips_.end() ? secondsOf(settings_.roundTripElsewhere)
+    return measured == roundTrips_.end() ? secondsOf(settings_.defaultRoundTrip)
                                          : measured->second.mean();
 }
 
-Verdict EndpointSelector::noEndpoint(const Service &service, const std::vector<EndpointId> &tried,
-                                     Instant now) const
+Verdict EndpointSelector::noEndpointVerdict(const Service &service,
+                                            const std::vector<EndpointId> &attempted,
+                                            Instant now) const
 {
     std::array<uint32_t, 5> counts = {};
-    uint32_t triedCount = 0;
+    uint32_t attemptedCount = 0;
     for (const std::size_t i : service.endpoints) {
-        if (contains(tried, endpoints_[i].spec.id)) {
-            ++triedCount;
+        if (contains(attempted, endpoints_[i].spec.id)) {
+            ++attemptedCount;
             continue;
         }
         ++counts[static_cast<std::size_t>(usability(endpoints_[i], now))];
     }
-    std::string detail = "no endpoint can be used: " + std::to_string(triedCount) + " tried";
+    std::string detail = "no endpoint can be used: " + std::to_string(attemptedCount) + " tried";
     for (std::size_t i = 1; i < counts.size(); ++i) {
         if (counts[i] > 0) {
             detail += ", " + std::to_string(counts[i]) + " "
@@ -451,16 +465,16 @@
         return;
     }
     const bool cached =
-            item.prefixHash != 0 && affinity_.believes(item.prefixHash, found->hash, now);
+            item.prefixHash != 0 && affinity_.hasHolder(item.prefixHash, found->hash, now);
     const Interval prefill = expectedPrefill(item.promptTokens);
-    const double part = cached ? 1.0 - PrefixPart : 1.0;
+    const double share = cached ? 1.0 - CachedPrefixShare : 1.0;
     found->prefillUntil =
-            std::max(found->prefillUntil, now) + intervalOf(secondsOf(prefill) * part);
+            std::max(found->prefillUntil, now) + intervalOf(secondsOf(prefill) * share);
     const bool full = found->load.requests(now) >= NearlyFull * found->spec.slots;
     found->load.onSent(now);
     found->health.onSent(item.request, prefill, full, now);
     if (item.prefixHash != 0) {
-        affinity_.learn(item.prefixHash, found->hash, now);
+        affinity_.addHolder(item.prefixHash, found->hash, now);
     }
 }
 
@@ -484,7 +498,7 @@
         return;
     }
     for (const ServiceId &service : found->spec.services) {
-        services_.at(service).outliers.reviewSoon();
+        services_.at(service).outliers.requestReview();
     }
 }
 
@@ -494,10 +508,10 @@
     if (found == nullptr) {
         return;
     }
-    const bool wasAway = !found->load.report().reachable;
+    const bool wasUnreachable = !found->load.report().reachable;
     found->load.onReport(report);
-    if (wasAway && found->load.report().reachable) {
-        found->health.startRamp(now, settings_.health);
+    if (wasUnreachable && found->load.report().reachable) {
+        found->health.beginSlowStart(now, settings_.health);
     }
 }
 
@@ -509,9 +523,9 @@
         return;
     }
     if (stored) {
-        affinity_.learn(prefix, found->hash, observedAt);
+        affinity_.addHolder(prefix, found->hash, observedAt);
     } else {
-        affinity_.forget(prefix, found->hash);
+        affinity_.removeHolder(prefix, found->hash);
     }
 }
 
@@ -521,62 +535,63 @@
     added.first->second.add(secondsOf(roundTrip));
 }
 
-std::vector<UnservedRoute> EndpointSelector::unserved(const ServiceId &service, Instant now) const
+std::vector<UnusableEndpoint> EndpointSelector::unusableEndpoints(const ServiceId &service,
+                                                                  Instant now) const
 {
-    std::vector<UnservedRoute> routes;
+    std::vector<UnusableEndpoint> unusable;
     const auto found = services_.find(service);
     if (found == services_.end()) {
-        return routes;
+        return unusable;
     }
     for (const std::size_t i : found->second.endpoints) {
-        const Usability how = usability(endpoints_[i], now);
-        if (how != Usability::Usable) {
-            routes.push_back({endpoints_[i].spec.id, usabilityName(how)});
+        const Usability state = usability(endpoints_[i], now);
+        if (state != Usability::Usable) {
+            unusable.push_back({endpoints_[i].spec.id, usabilityName(state)});
         }
     }
-    return routes;
+    return unusable;
 }
 
 uint32_t EndpointSelector::concurrencyLimit(Instant now) const
 {
     double own = 0.0;
-    double ownWhenReported = 0.0;
+    double ownAtReport = 0.0;
     double reported = 0.0;
     double requests = 0.0;
     double slots = 0.0;
-    double ownElsewhere = 0.0; // open where no more is sent; they hold no slot that counts here
+    double ownElsewhere = 0.0; // open at unusable endpoints; they occupy none of the slots counted
     for (const Endpoint &endpoint : endpoints_) {
         if (usability(endpoint, now) != Usability::Usable) {
-            ownElsewhere += endpoint.load.own();
+            ownElsewhere += endpoint.load.ownRequests();
             continue;
         }
-        own += endpoint.load.own();
-        ownWhenReported += endpoint.load.ownWhenReported(now);
-        reported += endpoint.load.reported(now);
+        own += endpoint.load.ownRequests();
+        ownAtReport += endpoint.load.ownRequestsAtReport(now);
+        reported += endpoint.load.reportedRequests(now);
         requests += endpoint.load.requests(now);
-        slots += endpoint.spec.slots * endpoint.health.rampShare(now);
+        slots += endpoint.spec.slots * endpoint.health.slowStartShare(now);
     }
     if (slots <= 0.0) {
         return 0;
     }
-    // The others are taken to have grown as this router has since the reports.
-    const double part = partOf(ownWhenReported, reported);
-    const double everybodys = std::max(requests, own / part);
-    // Summed over all before the difference is taken: an endpoint that is overrun must
-    // count against another's room, or uneven choices add up to an overrun fleet.
-    const double room = settings_.fullest * slots - everybodys;
-    const double equalPart = 1.0 / std::max(settings_.routerCount, 1U);
-    // Shares grow by half an equal step and shrink by what each has, which pulls them
-    // together (Chiu and Jain, 1989).
-    const double change = room > 0.0 ? room * (part + equalPart) / 2.0 : room * part;
-    const double least = std::max(settings_.fullest * slots * equalPart, 1.0);
-    return static_cast<uint32_t>(std::max(own + change, least) + ownElsewhere);
+    // Assumes that the load of other routers grew like this router's since the reports.
+    const double share = shareOf(ownAtReport, reported);
+    const double total = std::max(requests, own / share);
+    // Sum over all endpoints before taking the difference: an overloaded endpoint must reduce
+    // the room of the others, or uneven selections overload the fleet.
+    const double room = settings_.maxUtilization * slots - total;
+    const double equalShare = 1.0 / std::max(settings_.routerCount, 1U);
+    // An increase is half equal for all routers and half proportional, a decrease is
+    // proportional, so that their shares converge (Chiu and Jain, 1989).
+    const double change = room > 0.0 ? room * (share + equalShare) / 2.0 : room * share;
+    const double minLimit = std::max(settings_.maxUtilization * slots * equalShare, 1.0);
+    return static_cast<uint32_t>(std::max(own + change, minLimit) + ownElsewhere);
 }
 
-double EndpointSelector::partOf(double own, double everybodys) const
+double EndpointSelector::shareOf(double own, double total) const
 {
-    const double equalPart = 1.0 / std::max(settings_.routerCount, 1U);
-    return everybodys > 0.0 ? std::clamp(own / everybodys, equalPart, 1.0) : 1.0;
+    const double equalShare = 1.0 / std::max(settings_.routerCount, 1U);
+    return total > 0.0 ? std::clamp(own / total, equalShare, 1.0) : 1.0;
 }
 
 EndpointSelector::Endpoint *EndpointSelector::find(const EndpointId &id)
--- a/lib/Decisions/Estimates.cpp
+++ b/lib/Decisions/Estimates.cpp
@@ -11,9 +11,9 @@
 
 Interval intervalOf(double seconds)
 {
-    constexpr double Longest = 3600.0;
+    constexpr double MaxSeconds = 3600.0;
     return std::chrono::duration_cast<Interval>(
-            std::chrono::duration<double>(std::clamp(seconds, 0.0, Longest)));
+            std::chrono::duration<double>(std::clamp(seconds, 0.0, MaxSeconds)));
 }
 
 void MovingMean::add(double sample)
--- a/lib/Decisions/FairQueue.cpp
+++ b/lib/Decisions/FairQueue.cpp
@@ -7,20 +7,20 @@
 
 namespace {
 
-/// Flows kept before idle ones are looked for. The bound doubles what a sweep left,
-/// so that sweeps cost a step a request on average, and the memory of 390,000
-/// workspaces doesn't pile up.
-constexpr std::size_t FewestFlowsSwept = 1024;
+/// Number of flows below which idle ones aren't dropped. The threshold is set to twice the
+/// number of flows that a sweep leaves, so that sweeps cost one step a request on average
+/// and state for 390,000 workspaces doesn't accumulate.
+constexpr std::size_t MinSweepThreshold = 1024;
 
-double share(double cost, double weight)
+double weightedCost(double cost, double weight)
 {
-    constexpr double SmallestWeight = 1e-3;
-    return cost / std::max(weight, SmallestWeight);
+    constexpr double MinWeight = 1e-3;
+    return cost / std::max(weight, MinWeight);
 }
 
 } // namespace
 
-FairQueue::FairQueue() : sweepAbove_(FewestFlowsSwept) {}
+FairQueue::FairQueue() : sweepThreshold_(MinSweepThreshold) {}
 
 double FairQueue::expectedCost(const WorkItem &item)
 {
@@ -35,8 +35,8 @@
 
 std::size_t FairQueue::ahead(const WorkItem &item) const
 {
-    const auto behind = entries_.lower_bound(Position{startTag(item), nextSequence_});
-    return static_cast<std::size_t>(std::distance(entries_.begin(), behind));
+    const auto firstBehind = entries_.lower_bound(Position{startTag(item), nextSequence_});
+    return static_cast<std::size_t>(std::distance(entries_.begin(), firstBehind));
 }
 
 std::size_t FairQueue::waitingOf(const WorkspaceId &workspace) const
@@ -50,22 +50,22 @@
     return waitingFlows_;
 }
 
-void FairQueue::push(const WorkItem &item, Instant until)
+void FairQueue::push(const WorkItem &item, Instant deadline)
 {
     const double start = startTag(item);
     Flow &flow = flows_[item.workspace];
-    flow.lastFinish = start + share(expectedCost(item), item.weight);
+    flow.lastFinish = start + weightedCost(expectedCost(item), item.weight);
     waitingFlows_ += flow.waiting == 0 ? 1 : 0;
     ++flow.waiting;
-    entries_.emplace(Position{start, nextSequence_++}, QueueEntry{item, until});
+    entries_.emplace(Position{start, nextSequence_++}, QueueEntry{item, deadline});
 }
 
-void FairQueue::chargeServed(const WorkItem &item)
+void FairQueue::chargeUnqueued(const WorkItem &item)
 {
-    // Nobody waited, so nobody lost by it, and all start level when they begin to.
-    virtualTime_ = startTag(item) + share(expectedCost(item), item.weight);
+    // No request waited, so none was delayed; all workspaces start level with this one.
+    virtualTime_ = startTag(item) + weightedCost(expectedCost(item), item.weight);
     flows_[item.workspace].lastFinish = virtualTime_;
-    forgetIdleFlows();
+    dropIdleFlows();
 }
 
 std::optional<QueueEntry> FairQueue::popLast()
@@ -73,7 +73,7 @@
     if (entries_.empty()) {
         return std::nullopt;
     }
-    return take(std::prev(entries_.end()), false);
+    return extract(std::prev(entries_.end()), false);
 }
 
 bool FairQueue::remove(const RequestId &request)
@@ -84,32 +84,33 @@
     if (found == entries_.end()) {
         return false;
     }
-    take(found, false);
+    extract(found, false);
     return true;
 }
 
-QueueEntry FairQueue::take(Entries::iterator entry, bool served)
+QueueEntry FairQueue::extract(Entries::iterator entry, bool served)
 {
-    QueueEntry taken = std::move(entry->second);
+    QueueEntry extracted = std::move(entry->second);
     if (served) {
         virtualTime_ = std::max(virtualTime_, entry->first.startTag);
     }
     entries_.erase(entry);
-    Flow &flow = flows_[taken.item.workspace];
+    Flow &flow = flows_[extracted.item.workspace];
     --flow.waiting;
     waitingFlows_ -= flow.waiting == 0 ? 1 : 0;
     if (!served) {
-        flow.lastFinish -= share(expectedCost(taken.item), taken.item.weight);
+        flow.lastFinish -= weightedCost(expectedCost(extracted.item), extracted.item.weight);
     }
-    forgetIdleFlows();
-    return taken;
+    dropIdleFlows();
+    return extracted;
 }
 
-void FairQueue::settle(const WorkspaceId &workspace, double expected, double actual, double weight)
+void FairQueue::adjustCost(const WorkspaceId &workspace, double expected, double actual,
+                           double weight)
 {
     const auto flow = flows_.find(workspace);
     if (flow != flows_.end()) {
-        flow->second.lastFinish += share(actual - expected, weight);
+        flow->second.lastFinish += weightedCost(actual - expected, weight);
     }
 }
 
@@ -117,21 +118,21 @@
 {
     Instant next = Never;
     for (const auto &[position, entry] : entries_) {
-        next = std::min(next, entry.until);
+        next = std::min(next, entry.deadline);
     }
     return next;
 }
 
-void FairQueue::forgetIdleFlows()
+void FairQueue::dropIdleFlows()
 {
-    if (flows_.size() <= sweepAbove_) {
+    if (flows_.size() <= sweepThreshold_) {
         return;
     }
-    // A flow whose last finish tag has passed starts level with an unknown one.
+    // A flow whose last finish tag has passed would get the same start tag as a new flow.
     std::erase_if(flows_, [&](const auto &flow) {
         return flow.second.waiting == 0 && flow.second.lastFinish <= virtualTime_;
     });
-    sweepAbove_ = std::max(2 * flows_.size(), FewestFlowsSwept);
+    sweepThreshold_ = std::max(2 * flows_.size(), MinSweepThreshold);
 }
 
 } // namespace sequoiagate
--- a/lib/Decisions/LinkLoad.cpp
+++ b/lib/Decisions/LinkLoad.cpp
@@ -6,25 +6,25 @@
 
 void LinkLoad::Direction::add(uint64_t bytes, Instant now, Interval window)
 {
-    if (now >= begun + window) {
-        previous = now < begun + 2 * window ? current : 0;
+    if (now >= windowStart + window) {
+        previous = now < windowStart + 2 * window ? current : 0;
         current = 0;
-        begun = now;
+        windowStart = now;
     }
     current += bytes;
 }
 
-double LinkLoad::Direction::over(Instant now, Interval window) const
+double LinkLoad::Direction::bytesInWindow(Instant now, Interval window) const
 {
-    const double passed =
-            std::chrono::duration<double>(now - begun) / std::chrono::duration<double>(window);
-    if (passed >= 2.0) {
+    const double windowsElapsed = std::chrono::duration<double>(now - windowStart)
+                                  / std::chrono::duration<double>(window);
+    if (windowsElapsed >= 2.0) {
         return 0.0;
     }
-    if (passed >= 1.0) {
-        return static_cast<double>(current) * (2.0 - passed);
+    if (windowsElapsed >= 1.0) {
+        return static_cast<double>(current) * (2.0 - windowsElapsed);
     }
-    return static_cast<double>(previous) * (1.0 - passed) + static_cast<double>(current);
+    return static_cast<double>(previous) * (1.0 - windowsElapsed) + static_cast<double>(current);
 }
 
 double LinkLoad::share(Instant now) const
@@ -32,26 +32,29 @@
     if (settings_.bytesPerSecond == 0) {
         return 0.0;
     }
-    const double room = static_cast<double>(settings_.bytesPerSecond)
-                        * std::chrono::duration<double>(settings_.window).count();
-    return std::max(in_.over(now, settings_.window), out_.over(now, settings_.window)) / room;
+    const double windowCapacity = static_cast<double>(settings_.bytesPerSecond)
+                                  * std::chrono::duration<double>(settings_.window).count();
+    return std::max(in_.bytesInWindow(now, settings_.window),
+                    out_.bytesInWindow(now, settings_.window))
+           / windowCapacity;
 }
 
 bool LinkLoad::shedding(Instant now)
 {
-    if (share(now) > settings_.shedAbove) {
+    if (share(now) > settings_.shedThreshold) {
         if (now >= sheddingUntil_) {
-            const bool cameBack = now < sheddingUntil_ + settings_.settledAfter;
-            doublings_ = cameBack ? std::min(doublings_ + 1, settings_.mostDoublings) : 0;
+            const bool recurred = now < sheddingUntil_ + settings_.recurrenceWindow;
+            doublings_ = recurred ? std::min(doublings_ + 1, settings_.maxDoublings) : 0;
         }
-        sheddingUntil_ = std::max(sheddingUntil_, now + settings_.shedFor * (1U << doublings_));
+        sheddingUntil_ =
+                std::max(sheddingUntil_, now + settings_.shedDuration * (1U << doublings_));
     }
     return now < sheddingUntil_;
 }
 
 bool LinkLoad::refuses(uint64_t bytes, Instant now) const
 {
-    return bytes >= settings_.largeBytes && share(now) > settings_.refuseAbove;
+    return bytes >= settings_.minRefusedBytes && share(now) > settings_.refuseThreshold;
 }
 
 } // namespace sequoiagate
--- a/lib/Decisions/LongPromptLanes.cpp
+++ b/lib/Decisions/LongPromptLanes.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-/// Requests over which shares are taken: enough to see one long in a hundred ten times.
+/// Requests over which shares are averaged: enough to see ten long prompts at one in a hundred.
 constexpr uint32_t ShareSamples = 1000;
 constexpr uint32_t PromptSamples = 100;
-/// Before so many short ones were seen nothing is called long.
-constexpr uint32_t FewestSamples = 20;
+/// No prompt counts as long before this many short ones were seen.
+constexpr uint32_t MinSamples = 20;
 
-/// Share of their slots that the endpoints of short work may come to by giving lanes up.
-constexpr double FullestShort = 0.9;
+/// Utilization that the remaining endpoints may reach when some become lanes.
+constexpr double MaxShortUtilization = 0.9;
 
 } // namespace
 
@@ -25,30 +25,32 @@
 bool LongPromptLanes::classify(uint64_t promptTokens, Instant now)
 {
     const double tokens = static_cast<double>(promptTokens);
-    const bool known = shortPrompt_.samples() >= FewestSamples;
-    const bool isLong = known && tokens > LongFactor * std::max(shortPrompt_.mean(), 1.0);
+    const bool hasBaseline = shortPrompt_.samples() >= MinSamples;
+    const bool isLong =
+            hasBaseline && tokens > LongPromptFactor * std::max(shortPrompt_.mean(), 1.0);
     longShare_.add(isLong ? 1.0 : 0.0);
     if (isLong) {
         longPrompt_.add(tokens);
-        lanesUntil_ = now + LanesLast;
+        lanesExpireAt_ = now + LaneLifetime;
         return true;
     }
     shortPrompt_.add(tokens);
     return false;
 }
 
-std::size_t LongPromptLanes::lanes(std::size_t endpoints, double fill, Instant now) const
+std::size_t LongPromptLanes::laneCount(std::size_t endpoints, double utilization, Instant now) const
 {
-    if (now >= lanesUntil_ || longPrompt_.samples() == 0) {
+    if (now >= lanesExpireAt_ || longPrompt_.samples() == 0) {
         return 0;
     }
     const double longTokens = longShare_.mean() * longPrompt_.mean();
     const double shortTokens = (1.0 - longShare_.mean()) * shortPrompt_.mean();
     const double share = longTokens / std::max(longTokens + shortTokens, 1.0);
     const double count = static_cast<double>(endpoints);
-    const double spare = std::clamp(1.0 - fill / FullestShort, 0.0, MostLanes);
-    const auto most = static_cast<std::size_t>(count * spare);
-    return std::min(most, static_cast<std::size_t>(std::ceil(count * share)));
+    const double spareShare =
+            std::clamp(1.0 - utilization / MaxShortUtilization, 0.0, MaxLaneShare);
+    const auto maxLanes = static_cast<std::size_t>(count * spareShare);
+    return std::min(maxLanes, static_cast<std::size_t>(std::ceil(count * share)));
 }
 
 } // namespace sequoiagate
--- a/lib/Decisions/PrefillLimit.cpp
+++ b/lib/Decisions/PrefillLimit.cpp
@@ -7,47 +7,49 @@
 namespace {
 
 constexpr uint32_t Samples = 32;
-constexpr double Fall = 0.8;
-/// A first token is late at this many times what an unloaded endpoint takes.
+constexpr double DecreaseFactor = 0.8;
+/// A first token is late after this many times the time an unloaded endpoint takes.
 constexpr double LateFactor = 3.0;
-/// Far above any engine's use; keeps an idle spell of growth from making it endless.
-constexpr double Most = 4096.0;
+/// Far above what any engine can use; bounds the limit's growth.
+constexpr double MaxLimit = 4096.0;
 
 } // namespace
 
 PrefillLimit::PrefillLimit(Interval target)
-    : target_(target), unloadedSeconds_(Samples), seconds_(Samples)
+    : target_(target), unloadedSeconds_(Samples), firstTokenSeconds_(Samples)
 {}
 
-Interval PrefillLimit::lateAfter() const
+Interval PrefillLimit::latenessThreshold() const
 {
     return std::max(target_, intervalOf(LateFactor * unloadedSeconds_.mean()));
 }
 
-void PrefillLimit::onFirstToken(Interval took, uint32_t starting, Instant now)
+void PrefillLimit::onFirstToken(Interval latency, uint32_t prefilling, Instant now)
 {
-    seconds_.add(secondsOf(took));
-    if (starting <= Least) {
-        unloadedSeconds_.add(secondsOf(took));
+    firstTokenSeconds_.add(secondsOf(latency));
+    if (prefilling <= MinLimit) {
+        unloadedSeconds_.add(secondsOf(latency));
     }
-    if (took <= lateAfter()) {
-        // Only a limit that is used is known to be good.
-        const bool used = 2.0 * starting >= limit_;
-        limit_ = used ? std::min(limit_ + 1.0 / limit_, Most) : limit_;
+    if (latency <= latenessThreshold()) {
+        // First tokens on time confirm the limit only if at least half of it is in use.
+        const bool isUsed = 2.0 * prefilling >= limit_;
+        limit_ = isUsed ? std::min(limit_ + 1.0 / limit_, MaxLimit) : limit_;
         return;
     }
-    if (now < mayFallAt_) {
+    if (now < nextDecreaseAt_) {
         return;
     }
-    limit_ = std::max(limit_ * Fall, Least);
-    // What is under way was sent under the old limit: its lateness is no news.
-    mayFallAt_ = now + took;
+    limit_ = std::max(limit_ * DecreaseFactor, MinLimit);
+    // Requests in flight were sent under the old limit: ignore that they are late.
+    nextDecreaseAt_ = now + latency;
 }
 
-double PrefillLimit::perSecond() const
+double PrefillLimit::startsPerSecond() const
 {
-    constexpr double Shortest = 1e-3;
-    return seconds_.samples() == 0 ? 0.0 : limit_ / std::max(seconds_.mean(), Shortest);
+    constexpr double MinSeconds = 1e-3;
+    return firstTokenSeconds_.samples() == 0
+                   ? 0.0
+                   : limit_ / std::max(firstTokenSeconds_.mean(), MinSeconds);
 }
 
 } // namespace sequoiagate
--- a/lib/Decisions/RetryBudget.cpp
+++ b/lib/Decisions/RetryBudget.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-/// Enough for the failures that come together when an endpoint stops, on a router that
-/// has been quiet; too few to matter to the load.
-constexpr double MostSavedRetries = 10.0;
+/// Enough for the simultaneous failures when an endpoint stops, on a router that has been
+/// idle; too few to affect the load.
+constexpr double MaxSavedRetries = 10.0;
 
-bool safeToRepeat(const Verdict &verdict, bool idempotent)
+bool isSafeToRetry(const Verdict &verdict, bool idempotent)
 {
     if (verdict.execution == Execution::Ran) {
         return false;
@@ -20,16 +20,16 @@
 
 } // namespace
 
-RetryBudget::RetryBudget(double ratio) : ratio_(ratio), tokens_(MostSavedRetries) {}
+RetryBudget::RetryBudget(double ratio) : ratio_(ratio), tokens_(MaxSavedRetries) {}
 
 void RetryBudget::onFirstAttempt(Instant /*now*/)
 {
-    tokens_ = std::min(tokens_ + ratio_, MostSavedRetries);
+    tokens_ = std::min(tokens_ + ratio_, MaxSavedRetries);
 }
 
 bool RetryBudget::mayRetry(const Verdict &verdict, bool idempotent, Instant /*now*/)
 {
-    if (!safeToRepeat(verdict, idempotent) || tokens_ < 1.0) {
+    if (!isSafeToRetry(verdict, idempotent) || tokens_ < 1.0) {
         return false;
     }
     tokens_ -= 1.0;
--- a/unittests/Decisions/AdmissionTest.cpp
+++ b/unittests/Decisions/AdmissionTest.cpp
@@ -27,7 +27,7 @@
     return item;
 }
 
-AdmissionSettings smallSettings()
+AdmissionSettings smallRouterSettings()
 {
     AdmissionSettings settings;
     settings.slots = 4;
@@ -36,18 +36,20 @@
     return settings;
 }
 
-/// What became of requests, counted by workspace.
+/// Admitted and refused requests of one workspace.
 struct Tally
 {
     int admitted = 0;
     std::map<Reason, int> refused;
 };
 
-/// Plays arrivals against an admission whose requests each take the same time.
-class Player
+/// Simulates an Admission whose requests all take the same time.
+class AdmissionSimulation
 {
 public:
-    Player(AdmissionSettings settings, Interval service) : admission(settings), service_(service) {}
+    AdmissionSimulation(AdmissionSettings settings, Interval service)
+        : admission(settings), service_(service)
+    {}
 
     void offer(const WorkItem &item, Instant now)
     {
@@ -61,7 +63,7 @@
         poll(now);
     }
 
-    /// Ends what is due until \p now, one after another.
+    /// Finishes the requests that end by \p now, in order.
     void runUntil(Instant now)
     {
         while (!ends_.empty() && ends_.begin()->first <= now) {
@@ -73,7 +75,7 @@
         poll(now);
     }
 
-    Tally &of(const std::string &workspace) { return tallies_[WorkspaceId(workspace)]; }
+    Tally &tallyOf(const std::string &workspace) { return tallies_[WorkspaceId(workspace)]; }
     const std::vector<Verdict> &verdicts() const { return verdicts_; }
 
     Admission admission;
@@ -112,45 +114,45 @@
 struct ShareCase
 {
     const char *name;
-    int largePerSmall;     ///< requests of the large workspace for one of the small
-    double largeWeight;    ///< the small one's is 1
-    double leastSmallPart; ///< of the small workspace's requests that must be served
-    double leastLargePart; ///< of all served that must be the large one's
+    int largePerSmall;            ///< requests of the large workspace for each of the small one
+    double largeWeight;           ///< the small workspace's is 1
+    double minSmallServedShare;   ///< of the small workspace's requests
+    double minLargeShareOfServed; ///< of all requests served
 };
 
 class FairShares : public testing::TestWithParam<ShareCase>
 {};
 
-// A small workspace's caller asks now and then while a large workspace asks ten
-// times as often, at 1.5 times what can be served. In order of arrival both see
-// the same share of refusals, though the small one asks for less than its part.
+// A large workspace sends ten times the requests of a small one, at 1.5 times the capacity
+// in total. In order of arrival both would see the same share of refusals, although the
+// small workspace requests less than its fair share.
 constexpr ShareCase ShareCases[] = {
-        {"FewLargeManySmall", 10, 1.0, 0.95, 0.75},
-        {"EvenLarger", 30, 1.0, 0.95, 0.85},
-        {"WeightGivesMore", 10, 4.0, 0.95, 0.75},
+        {"TenTimesLarger", 10, 1.0, 0.95, 0.75},
+        {"ThirtyTimesLarger", 30, 1.0, 0.95, 0.85},
+        {"HigherWeight", 10, 4.0, 0.95, 0.75},
 };
 
-TEST_P(FairShares, SmallWorkspaceIsServedBesideALargeOne)
+TEST_P(FairShares, ServesSmallWorkspaceDespiteLargeOne)
 {
     const ShareCase &row = GetParam();
     // 4 slots of 100 ms serve 40 requests a second; 60 arrive.
-    Player player(smallSettings(), Millis(100));
+    AdmissionSimulation simulation(smallRouterSettings(), Millis(100));
     constexpr int Arrivals = 60 * 30;
     int small = 0;
     for (int i = 0; i < Arrivals; ++i) {
         const Instant now = Start + i * std::chrono::microseconds(16667);
-        player.runUntil(now);
+        simulation.runUntil(now);
         const bool fromSmall = i % (row.largePerSmall + 1) == 0;
         small += fromSmall ? 1 : 0;
         WorkItem item = itemOf(fromSmall ? "small" : "large", i);
         item.weight = fromSmall ? 1.0 : row.largeWeight;
-        player.offer(item, now);
+        simulation.offer(item, now);
     }
-    const double smallServed = player.of("small").admitted;
-    const double largeServed = player.of("large").admitted;
-    EXPECT_GE(smallServed, row.leastSmallPart * small);
-    EXPECT_GE(largeServed / (smallServed + largeServed), row.leastLargePart);
-    EXPECT_GE(smallServed + largeServed, 0.95 * 40 * 30) << "slots stood empty";
+    const double smallServed = simulation.tallyOf("small").admitted;
+    const double largeServed = simulation.tallyOf("large").admitted;
+    EXPECT_GE(smallServed, row.minSmallServedShare * small);
+    EXPECT_GE(largeServed / (smallServed + largeServed), row.minLargeShareOfServed);
+    EXPECT_GE(smallServed + largeServed, 0.95 * 40 * 30) << "slots were idle";
 }
 
 INSTANTIATE_TEST_SUITE_P(Loads, FairShares, testing::ValuesIn(ShareCases),
@@ -161,48 +163,48 @@
     const char *name;
     int interactivePerSecond;
     int batchPerSecond;
-    int leastInteractive; ///< served in 30 s
-    int leastBatch;
+    int minInteractive; ///< served in 30 s
+    int minBatch;
 };
 
 class WorkClasses : public testing::TestWithParam<ClassCase>
 {};
 
-// An owner chats while Assessments wait in the background. Served in order of
-// arrival, the Chat Turn stands behind them; served strictly first, a flood of Chat
-// Turns stops all Assessments. 40 requests a second can be served.
+// Interactive requests compete with batch requests. In order of arrival, interactive ones
+// would wait behind the batch; with strict priority, a flood of interactive requests would
+// stop all batch work. 40 requests a second can be served.
 constexpr ClassCase ClassCases[] = {
-        {"ChatBesideABatchFlood", 20, 100, 590, 300},
-        {"BatchBesideAChatFlood", 100, 20, 800, 150},
+        {"InteractiveDuringBatchFlood", 20, 100, 590, 300},
+        {"BatchDuringInteractiveFlood", 100, 20, 800, 150},
         {"BothFlood", 100, 100, 800, 150},
 };
 
-TEST_P(WorkClasses, NeitherStarvesTheOther)
+TEST_P(WorkClasses, GetTheirSharesUnderFlood)
 {
     const ClassCase &row = GetParam();
-    Player player(smallSettings(), Millis(100));
+    AdmissionSimulation simulation(smallRouterSettings(), Millis(100));
     for (int ms = 0; ms < 30000; ++ms) {
         const Instant now = Start + Millis(ms);
-        player.runUntil(now);
+        simulation.runUntil(now);
         if (ms % (1000 / row.interactivePerSecond) == 0) {
-            player.offer(itemOf("chat", ms), now);
+            simulation.offer(itemOf("chat", ms), now);
         }
         if (ms % (1000 / row.batchPerSecond) == 0) {
-            player.offer(itemOf("assess", ms, WorkClass::Batch), now);
+            simulation.offer(itemOf("assess", ms, WorkClass::Batch), now);
         }
     }
-    EXPECT_GE(player.of("chat").admitted, row.leastInteractive);
-    EXPECT_GE(player.of("assess").admitted, row.leastBatch);
+    EXPECT_GE(simulation.tallyOf("chat").admitted, row.minInteractive);
+    EXPECT_GE(simulation.tallyOf("assess").admitted, row.minBatch);
 }
 
 INSTANTIATE_TEST_SUITE_P(Loads, WorkClasses, testing::ValuesIn(ClassCases),
                          [](const auto &row) { return std::string(row.param.name); });
 
-TEST(Admission, LeavesASlotForACallerWhileAssessmentsRun)
+TEST(Admission, ReservesSlotsForInteractiveRequests)
 {
-    // Assessments take all slots while nobody chats. Without a reserve the next Chat
-    // Turn's caller waits for the end of one, which takes minutes.
-    AdmissionSettings settings = smallSettings();
+    // Batch requests take all slots while there are no interactive ones. Without a reserve
+    // the next interactive request waits for one of them to end, which takes minutes.
+    AdmissionSettings settings = smallRouterSettings();
     settings.slots = 20;
     Admission admission(settings);
     for (int i = 0; i < 40; ++i) {
@@ -213,66 +215,67 @@
     EXPECT_TRUE(std::holds_alternative<Admitted>(outcome));
 }
 
-TEST(Admission, AnswersAtOnceWhatCannotBeServedInTime)
+TEST(Admission, RefusesImmediatelyWhatCannotBeServedInTime)
 {
-    // A burst meets a router that serves 40 a second: after the first dozen a request
-    // can't start within 300 ms. Its caller is told at once, not when the 300 ms end.
-    AdmissionSettings settings = smallSettings();
+    // A burst arrives at a router that serves 40 requests a second: after the first dozen, a
+    // request can't start within 300 ms. It is refused at once, not after the 300 ms.
+    AdmissionSettings settings = smallRouterSettings();
     settings.queueLimit = 1000;
-    Player player(settings, Millis(100));
+    AdmissionSimulation simulation(settings, Millis(100));
     for (int i = 0; i < 40; ++i) {
-        player.runUntil(Start + i * Millis(25));
-        player.offer(itemOf("steady", i), Start + i * Millis(25));
+        simulation.runUntil(Start + i * Millis(25));
+        simulation.offer(itemOf("steady", i), Start + i * Millis(25));
     }
     const Instant burst = Start + Millis(1000);
-    player.runUntil(burst);
+    simulation.runUntil(burst);
     for (int i = 0; i < 200; ++i) {
-        player.offer(itemOf("burst", i), burst);
+        simulation.offer(itemOf("burst", i), burst);
     }
-    EXPECT_LE(player.admission.waiting(), 20U);
-    EXPECT_GE(player.of("burst").refused[Reason::QueueFull]
-                      + player.of("burst").refused[Reason::RateShare],
+    EXPECT_LE(simulation.admission.waiting(), 20U);
+    EXPECT_GE(simulation.tallyOf("burst").refused[Reason::QueueFull]
+                      + simulation.tallyOf("burst").refused[Reason::RateShare],
               180);
-    player.runUntil(burst + Seconds(2));
-    const int late = player.of("burst").refused[Reason::QueueTimeout];
-    EXPECT_LE(late, 5) << "waited in vain";
-    EXPECT_EQ(player.admission.waiting(), 0U);
+    simulation.runUntil(burst + Seconds(2));
+    const int late = simulation.tallyOf("burst").refused[Reason::QueueTimeout];
+    EXPECT_LE(late, 5) << "waited and then timed out";
+    EXPECT_EQ(simulation.admission.waiting(), 0U);
 }
 
-TEST(Admission, SpreadsTheTimesToComeBack)
+TEST(Admission, SpreadsRetryTimes)
 {
-    // A thousand callers are refused in one second at 40 a second. Told the same time
-    // they would be the next burst; serving them takes 25 s, so they come over that.
-    Player player(smallSettings(), Millis(100));
+    // A thousand callers are refused in one second by a router that serves 40 a second. With
+    // one retry time they would be the next burst; serving them takes 25 s, so their retries
+    // are spread over that time.
+    AdmissionSimulation simulation(smallRouterSettings(), Millis(100));
     for (int i = 0; i < 100; ++i) {
-        player.runUntil(Start + i * Millis(25));
-        player.offer(itemOf("steady", i), Start + i * Millis(25));
+        simulation.runUntil(Start + i * Millis(25));
+        simulation.offer(itemOf("steady", i), Start + i * Millis(25));
     }
     const Instant burst = Start + Millis(2500);
     for (int i = 0; i < 1000; ++i) {
-        player.offer(itemOf("burst", i), burst + i * Millis(1));
+        simulation.offer(itemOf("burst", i), burst + i * Millis(1));
     }
     std::map<int64_t, int> perSecond;
-    for (const Verdict &verdict : player.verdicts()) {
+    for (const Verdict &verdict : simulation.verdicts()) {
         ASSERT_TRUE(verdict.retryAt.has_value());
         EXPECT_GT(*verdict.retryAt, burst);
         EXPECT_EQ(verdict.execution, Execution::NotRun);
         ++perSecond[std::chrono::duration_cast<Seconds>(*verdict.retryAt - burst).count()];
     }
-    ASSERT_GE(player.verdicts().size(), 900U);
+    ASSERT_GE(simulation.verdicts().size(), 900U);
     int most = 0;
     for (const auto &[second, count] : perSecond) {
         most = std::max(most, count);
     }
-    EXPECT_LE(most, 200) << "callers come back together";
+    EXPECT_LE(most, 200) << "too many callers retry in the same second";
     EXPECT_GE(perSecond.size(), 15U);
 }
 
-TEST(Admission, DisplacesWhatIsFurthestBeyondItsShare)
+TEST(Admission, EvictsRequestFurthestBeyondItsShare)
 {
-    // A large workspace has filled the queue when a small one's caller comes. Turning
-    // the newcomer away would let whoever asks fastest hold the whole queue.
-    AdmissionSettings settings = smallSettings();
+    // A large workspace has filled the queue when a request of a small one arrives. Refusing
+    // the new request would let the workspace with the highest rate hold the whole queue.
+    AdmissionSettings settings = smallRouterSettings();
     Admission admission(settings);
     for (int i = 0; i < 12; ++i) {
         admission.offer(itemOf("large", i), Start);
@@ -280,12 +283,13 @@
     ASSERT_EQ(admission.waiting(), settings.queueLimit);
     const AdmissionOutcome outcome = admission.offer(itemOf("small", 0), Start);
     ASSERT_TRUE(std::holds_alternative<Queued>(outcome));
-    EXPECT_LE(admission.nextDeadline(), Start) << "the displaced caller is answered at once";
+    EXPECT_LE(admission.nextDeadline(), Start) << "the evicted request is refused at once";
     const std::vector<QueueRelease> released = admission.poll(Start);
     ASSERT_EQ(released.size(), 1U);
     EXPECT_EQ(released[0].request, RequestId("large-11"));
     EXPECT_EQ(released[0].verdict.reason, Reason::RateShare);
-    // The large one's first waiting request came while all were level: it alone goes before.
+    // The large workspace's first waiting request has the same start tag and arrived earlier:
+    // it alone is served before the small one's.
     admission.finished(RequestId("large-0"), 400, Start + Millis(100));
     admission.finished(RequestId("large-1"), 400, Start + Millis(100));
     const std::vector<QueueRelease> next = admission.poll(Start + Millis(100));
@@ -294,11 +298,11 @@
     EXPECT_EQ(next[1].request, RequestId("small-0"));
 }
 
-TEST(Admission, GivesUpAtTheDeadlineAndNeverAdmitsAfterIt)
+TEST(Admission, DropsAtDeadlineAndNeverAdmitsAfterwards)
 {
-    // A caller's own deadline passes while it waits; a slot gets free in the same
-    // moment. It is answered with a timeout and not run for nobody.
-    Admission admission(smallSettings());
+    // A request's own deadline passes while it waits, and a slot becomes free at the same
+    // moment. It is refused with a timeout and doesn't run.
+    Admission admission(smallRouterSettings());
     for (int i = 0; i < 4; ++i) {
         admission.offer(itemOf("a", i), Start);
     }
@@ -316,10 +320,10 @@
     EXPECT_EQ(admission.nextDeadline(), Never);
 }
 
-TEST(Admission, ForgetsACallerThatHungUp)
+TEST(Admission, RemovesWaitingRequestOfCallerThatHungUp)
 {
-    // A caller hangs up while it waits. Its place goes to the next, not to nobody.
-    Admission admission(smallSettings());
+    // A caller hangs up while its request waits. The next slot goes to the request after it.
+    Admission admission(smallRouterSettings());
     for (int i = 0; i < 6; ++i) {
         admission.offer(itemOf("a", i), Start);
     }
--- a/unittests/Decisions/DistributedRetryBudgetTest.cpp
+++ b/unittests/Decisions/DistributedRetryBudgetTest.cpp
@@ -1,4 +1,4 @@
-/// Endpoints that fail in numbers: the fleet's repeats stay within the bound for all.
+/// When many endpoints fail, the retries of all processes together stay within the bound.
 
 #include <gtest/gtest.h>
 
@@ -12,15 +12,18 @@
 {
     const char *name;
     uint32_t processes;
-    int requestsPerSecond; ///< at each process; every one fails and would be repeated
+    int requestsPerSecond; ///< at each process; each one fails and would be retried
 };
 
-class RetryFleet : public testing::TestWithParam<FleetCase>
+class FleetRetries : public testing::TestWithParam<FleetCase>
 {};
 
-const FleetCase FleetCases[] = {{"Today", 9, 9}, {"Grown", 75, 5}, {"One", 1, 50}, {"Idle", 9, 0}};
+const FleetCase FleetCases[] = {{"NineProcesses", 9, 9},
+                                {"SeventyFiveProcesses", 75, 5},
+                                {"OneProcess", 1, 50},
+                                {"NoRequests", 9, 0}};
 
-TEST_P(RetryFleet, KeepsTheBoundInEveryWindow)
+TEST_P(FleetRetries, StayWithinTheBoundInEveryWindow)
 {
     DistributedRetryBudgetSettings settings;
     settings.ratio = 0.2;
@@ -32,35 +35,35 @@
         process.setProcessCount(GetParam().processes);
     }
     std::vector<int> requests;
-    std::vector<int> repeats;
+    std::vector<int> retries;
     Instant now{std::chrono::hours(1)};
     for (int second = 0; second < 40; ++second) {
         requests.push_back(0);
-        repeats.push_back(0);
+        retries.push_back(0);
         for (DistributedRetryBudget &process : fleet) {
             for (int i = 0; i < GetParam().requestsPerSecond; ++i) {
                 process.onRequest(service, now);
                 ++requests.back();
-                repeats.back() += process.mayRetry(service, now) ? 1 : 0;
+                retries.back() += process.mayRetry(service, now) ? 1 : 0;
             }
         }
         now += std::chrono::seconds(1);
     }
     for (std::size_t from = 0; from + 10 <= requests.size(); ++from) {
-        int asked = 0;
-        int repeated = 0;
+        int requestCount = 0;
+        int retryCount = 0;
         for (std::size_t i = from; i < from + 10; ++i) {
-            asked += requests[i];
-            repeated += repeats[i];
+            requestCount += requests[i];
+            retryCount += retries[i];
         }
-        EXPECT_LE(repeated, settings.ratio * asked + settings.baseRetries);
+        EXPECT_LE(retryCount, settings.ratio * requestCount + settings.baseRetries);
         if (GetParam().requestsPerSecond > 0) {
-            EXPECT_GT(repeated, 0);
+            EXPECT_GT(retryCount, 0);
         }
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(Rows, RetryFleet, testing::ValuesIn(FleetCases),
+INSTANTIATE_TEST_SUITE_P(Rows, FleetRetries, testing::ValuesIn(FleetCases),
                          [](const auto &row) { return std::string(row.param.name); });
 
 } // namespace
--- a/unittests/Decisions/EndpointLoadTest.cpp
+++ b/unittests/Decisions/EndpointLoadTest.cpp
@@ -14,28 +14,28 @@
 {
     const char *name;
     uint32_t reported;
-    int sentBefore; ///< own, before the report was observed
+    int sentBefore; ///< by this router, before the report was observed
     int sentAfter;
     int endedAfter;
-    Interval askedAfter; ///< since the report was observed
+    Interval queriedAfter; ///< since the report was observed
     double requests;
-    double ownThen;
+    double ownAtReport;
 };
 
-class LateReport : public testing::TestWithParam<LagCase>
+class LaggingReport : public testing::TestWithParam<LagCase>
 {};
 
-// An endpoint's report is a second old when it is read. Taken as it is, what was sent
-// since seems not to be there, and the router keeps sending to an endpoint that is full.
+// An endpoint's report is a second old when it is read. Taken unchanged it omits the requests
+// sent since, and the router keeps sending to an endpoint that is full.
 constexpr LagCase LagCases[] = {
-        {"NothingSince", 5, 2, 0, 0, Seconds(1), 5, 2},
+        {"NoChangeSince", 5, 2, 0, 0, Seconds(1), 5, 2},
         {"SentSince", 5, 2, 10, 0, Seconds(1), 15, 2},
         {"EndedSince", 5, 2, 0, 2, Seconds(1), 3, 2},
-        {"OwnIsTheLeast", 0, 3, 0, 0, Seconds(1), 3, 3},
-        {"TooOldToCount", 50, 2, 1, 0, Seconds(6), 3, 3},
+        {"OwnRequestsAreLowerBound", 0, 3, 0, 0, Seconds(1), 3, 3},
+        {"ExpiredReport", 50, 2, 1, 0, Seconds(6), 3, 3},
 };
 
-TEST_P(LateReport, IsCorrectedByWhatWasSentSince)
+TEST_P(LaggingReport, IsCorrectedByRequestsSinceThen)
 {
     const LagCase &row = GetParam();
     EndpointLoad load;
@@ -52,15 +52,16 @@
     report.running = row.reported;
     report.observedAt = Start;
     load.onReport(report);
-    EXPECT_DOUBLE_EQ(load.requests(Start + row.askedAfter), row.requests);
-    EXPECT_DOUBLE_EQ(load.ownWhenReported(Start + row.askedAfter), row.ownThen);
+    EXPECT_DOUBLE_EQ(load.requests(Start + row.queriedAfter), row.requests);
+    EXPECT_DOUBLE_EQ(load.ownRequestsAtReport(Start + row.queriedAfter), row.ownAtReport);
     report.running = 99;
     report.observedAt = Start - Seconds(1);
     load.onReport(report);
-    EXPECT_DOUBLE_EQ(load.requests(Start + row.askedAfter), row.requests) << "an older report won";
+    EXPECT_DOUBLE_EQ(load.requests(Start + row.queriedAfter), row.requests)
+            << "an older report replaced a newer one";
 }
 
-INSTANTIATE_TEST_SUITE_P(Lags, LateReport, testing::ValuesIn(LagCases),
+INSTANTIATE_TEST_SUITE_P(Lags, LaggingReport, testing::ValuesIn(LagCases),
                          [](const auto &row) { return std::string(row.param.name); });
 
 } // namespace
--- a/unittests/Decisions/EndpointSelectorTest.cpp
+++ b/unittests/Decisions/EndpointSelectorTest.cpp
@@ -61,50 +61,50 @@
     return report;
 }
 
-EndpointSelectorSettings oneRouter()
+EndpointSelectorSettings singleRouterSettings()
 {
     EndpointSelectorSettings settings;
     settings.routerCount = 1;
     return settings;
 }
 
-std::string chosenId(const SelectionOutcome &outcome)
+std::string selectedId(const SelectionOutcome &outcome)
 {
     const auto *chosen = std::get_if<SelectedEndpoint>(&outcome);
     return chosen == nullptr ? "" : chosen->endpoint.text();
 }
 
-/// Endpoints that answer at a set pace, for one router.
-class Caller
+/// One router, and endpoints that respond after set times.
+class RouterSimulation
 {
 public:
-    explicit Caller(int endpoints) : choice(Here, oneRouter())
+    explicit RouterSimulation(int endpoints) : selector(Here, singleRouterSettings())
     {
-        choice.setEndpoints(fleetOf(endpoints), Start);
+        selector.setEndpoints(fleetOf(endpoints), Start);
     }
 
-    /// Sends one request and plays its first token and end.
-    std::string call(int number, Instant now, uint64_t prefix = 0)
+    /// Sends one request and simulates its first token and end.
+    std::string sendRequest(int number, Instant now, uint64_t prefix = 0)
     {
         const WorkItem item = itemOf(number, prefix);
-        const SelectionOutcome outcome = choice.select(item, {}, now);
-        const std::string endpoint = chosenId(outcome);
+        const SelectionOutcome outcome = selector.select(item, {}, now);
+        const std::string endpoint = selectedId(outcome);
         if (endpoint.empty()) {
             return endpoint;
         }
         ++sent[endpoint];
         const Interval first = firstToken.count(endpoint) > 0 ? firstToken[endpoint] : Millis(30);
         const bool fails = failing.count(endpoint) > 0;
-        choice.onSent(EndpointId(endpoint), item, now);
+        selector.onSent(EndpointId(endpoint), item, now);
         if (!fails) {
-            choice.onFirstToken(EndpointId(endpoint), item.request, now + first);
+            selector.onFirstToken(EndpointId(endpoint), item.request, now + first);
         }
-        choice.onEnd({EndpointId(endpoint), item.request, !fails, fails ? Interval() : first, 5},
-                     now + first);
+        selector.onEnd({EndpointId(endpoint), item.request, !fails, fails ? Interval() : first, 5},
+                       now + first);
         return endpoint;
     }
 
-    EndpointSelector choice;
+    EndpointSelector selector;
     std::map<std::string, Interval> firstToken;
     std::map<std::string, bool> failing;
     std::map<std::string, int> sent;
@@ -113,54 +113,56 @@
 struct UnusableCase
 {
     const char *name;
-    void (*spoil)(EndpointSelector &choice);
+    void (*makeUnusable)(EndpointSelector &selector);
     Reason reason;
-    const char *why; ///< named by unserved and in the verdict; empty: it is served
+    const char *listedReason; ///< in unusableEndpoints and in the verdict; empty: none is listed
 };
 
 class Unusable : public testing::TestWithParam<UnusableCase>
 {};
 
-// An operator sees callers refused and asks why. Each endpoint that isn't used says so,
-// and the refusal itself counts the causes.
+// An operator investigates why requests are refused. unusableEndpoints gives the reason for
+// each endpoint, and the refusal itself counts the reasons.
 const UnusableCase UnusableCases[] = {
         {"Leaving",
-         [](EndpointSelector &choice) {
+         [](EndpointSelector &selector) {
              LoadReport report = reportOf(0, 0, Start);
              report.leaving = true;
-             choice.onReport(report, Start);
+             selector.onReport(report, Start);
          },
          Reason::NoEndpoint, "leaving"},
         {"Unreachable",
-         [](EndpointSelector &choice) {
+         [](EndpointSelector &selector) {
              LoadReport report = reportOf(0, 0, Start);
              report.reachable = false;
-             choice.onReport(report, Start);
+             selector.onReport(report, Start);
          },
          Reason::NoEndpoint, "unreachable"},
         {"LeavingByConfiguration",
-         [](EndpointSelector &choice) {
+         [](EndpointSelector &selector) {
              std::vector<EndpointSpec> specs = fleetOf(1);
              specs[0].leaving = true;
-             choice.setEndpoints(specs, Start);
+             selector.setEndpoints(specs, Start);
          },
          Reason::NoEndpoint, "leaving"},
-        {"NobodyOffersIt", [](EndpointSelector &choice) { choice.setEndpoints({}, Start); },
-         Reason::NoEndpoint, ""},
-        {"Full", [](EndpointSelector &choice) { choice.onReport(reportOf(0, 40, Start), Start); },
+        {"NoEndpointOffersService",
+         [](EndpointSelector &selector) { selector.setEndpoints({}, Start); }, Reason::NoEndpoint,
+         ""},
+        {"Full",
+         [](EndpointSelector &selector) { selector.onReport(reportOf(0, 40, Start), Start); },
          Reason::None, ""},
 };
 
-TEST_P(Unusable, NamesItsReason)
+TEST_P(Unusable, ReportsReason)
 {
-    EndpointSelector choice(Here, oneRouter());
-    choice.setEndpoints(fleetOf(1), Start);
-    GetParam().spoil(choice);
-    const SelectionOutcome outcome = choice.select(itemOf(1), {}, Start);
-    const std::vector<UnservedRoute> routes = choice.unserved(Chat, Start);
+    EndpointSelector selector(Here, singleRouterSettings());
+    selector.setEndpoints(fleetOf(1), Start);
+    GetParam().makeUnusable(selector);
+    const SelectionOutcome outcome = selector.select(itemOf(1), {}, Start);
+    const std::vector<UnusableEndpoint> unusable = selector.unusableEndpoints(Chat, Start);
     if (GetParam().reason == Reason::None) {
-        EXPECT_EQ(chosenId(outcome), "e0");
-        EXPECT_TRUE(routes.empty());
+        EXPECT_EQ(selectedId(outcome), "e0");
+        EXPECT_TRUE(unusable.empty());
         return;
     }
     const auto *verdict = std::get_if<Verdict>(&outcome);
@@ -168,44 +170,46 @@
     EXPECT_EQ(verdict->reason, GetParam().reason);
     EXPECT_EQ(verdict->execution, Execution::NotRun);
     EXPECT_TRUE(verdict->retryAt);
-    ASSERT_EQ(routes.empty(), GetParam().why == std::string());
-    if (!routes.empty()) {
-        EXPECT_EQ(routes[0].reason, GetParam().why);
-        EXPECT_NE(verdict->detail.find(GetParam().why), std::string::npos) << verdict->detail;
+    ASSERT_EQ(unusable.empty(), GetParam().listedReason == std::string());
+    if (!unusable.empty()) {
+        EXPECT_EQ(unusable[0].reason, GetParam().listedReason);
+        EXPECT_NE(verdict->detail.find(GetParam().listedReason), std::string::npos)
+                << verdict->detail;
     }
 }
 
 INSTANTIATE_TEST_SUITE_P(Causes, Unusable, testing::ValuesIn(UnusableCases),
                          [](const auto &row) { return std::string(row.param.name); });
 
-TEST(EndpointChoice, NeverRetriesIntoAnEndpointThatWasTried)
+TEST(EndpointSelector, NeverRetriesAtAnAttemptedEndpoint)
 {
-    // An endpoint failed a request. Sent there again, the retry fails too, and the caller
-    // has lost its second chance.
-    Caller caller(3);
-    std::vector<EndpointId> tried;
+    // An endpoint failed a request. A retry sent to the same endpoint would fail as well and
+    // use up an attempt.
+    RouterSimulation simulation(3);
+    std::vector<EndpointId> attempted;
     for (int i = 0; i < 3; ++i) {
-        const std::string id = chosenId(caller.choice.select(itemOf(1, 7), tried, Start));
+        const std::string id =
+                selectedId(simulation.selector.select(itemOf(1, 7), attempted, Start));
         ASSERT_FALSE(id.empty());
-        EXPECT_EQ(std::count(tried.begin(), tried.end(), EndpointId(id)), 0);
-        tried.push_back(EndpointId(id));
+        EXPECT_EQ(std::count(attempted.begin(), attempted.end(), EndpointId(id)), 0);
+        attempted.push_back(EndpointId(id));
     }
-    EXPECT_EQ(chosenId(caller.choice.select(itemOf(1, 7), tried, Start)), "");
+    EXPECT_EQ(selectedId(simulation.selector.select(itemOf(1, 7), attempted, Start)), "");
 }
 
-TEST(EndpointChoice, KeepsAHotPrefixTogetherAndBelowItsBound)
+TEST(EndpointSelector, SpreadsHotPrefixOnlyUpToLoadBound)
 {
-    // One prefix is all of the load. At its home alone, callers would wait while the other
-    // endpoints idle; spread over all, each would prefill it. 60 open requests over 10
+    // One prefix makes up all of the load. At its home alone, callers would wait while the
+    // other endpoints idle; spread over all, each would prefill it. 60 open requests over 10
     // endpoints are 6 each on average, so none may have more than 8.
-    Caller caller(10);
+    RouterSimulation simulation(10);
     std::map<std::string, int> open;
     for (int i = 0; i < 60; ++i) {
         const WorkItem item = itemOf(i, 42);
         const Instant now = Start + i * Millis(100);
-        const EndpointId endpoint(chosenId(caller.choice.select(item, {}, now)));
-        caller.choice.onSent(endpoint, item, now);
-        caller.choice.onFirstToken(endpoint, item.request, now + Millis(30));
+        const EndpointId endpoint(selectedId(simulation.selector.select(item, {}, now)));
+        simulation.selector.onSent(endpoint, item, now);
+        simulation.selector.onFirstToken(endpoint, item.request, now + Millis(30));
         ++open[endpoint.text()];
     }
     for (const auto &[endpoint, count] : open) {
@@ -213,37 +217,39 @@
     }
 }
 
-TEST(EndpointChoice, SendsAPrefixWhereItIsCached)
+TEST(EndpointSelector, PrefersEndpointsThatHoldThePrefix)
 {
-    // A conversation's turns come one by one. Each that goes elsewhere costs a prefill.
-    Caller caller(10);
-    const std::string home = caller.call(0, Start, 42);
+    // The turns of a conversation arrive one by one. Each one sent to another endpoint costs
+    // a prefill.
+    RouterSimulation simulation(10);
+    const std::string home = simulation.sendRequest(0, Start, 42);
     for (int i = 1; i < 20; ++i) {
-        EXPECT_EQ(caller.call(i, Start + Seconds(i), 42), home);
+        EXPECT_EQ(simulation.sendRequest(i, Start + Seconds(i), 42), home);
     }
-    // Its engine evicts it, and another router's work put it elsewhere: follow the cache.
+    // The engine evicts the prefix, and a request of another router has put it in another
+    // endpoint's cache: the cache events take precedence over the home.
     const std::string other = home == "e0" ? "e1" : "e0";
-    caller.choice.onCacheEvent(EndpointId(home), 42, false, Start + Seconds(20));
-    caller.choice.onCacheEvent(EndpointId(other), 42, true, Start + Seconds(20));
-    EXPECT_EQ(caller.call(20, Start + Seconds(21), 42), other);
-    // Nothing is heard for long: events get lost, so the belief ends and the home counts.
-    EXPECT_EQ(caller.call(21, Start + Seconds(120), 42), home);
+    simulation.selector.onCacheEvent(EndpointId(home), 42, false, Start + Seconds(20));
+    simulation.selector.onCacheEvent(EndpointId(other), 42, true, Start + Seconds(20));
+    EXPECT_EQ(simulation.sendRequest(20, Start + Seconds(21), 42), other);
+    // Without further events, which may get lost, the entry expires and the home is used.
+    EXPECT_EQ(simulation.sendRequest(21, Start + Seconds(120), 42), home);
 }
 
-TEST(EndpointChoice, SpreadsABurstThatReportsDoNotShowYet)
+TEST(EndpointSelector, SpreadsBurstBeforeNextReport)
 {
-    // e0 was idle when it last spoke, the others had a little to do. Until the next report
-    // a router that goes by reports alone sends everything to e0.
-    Caller caller(4);
+    // e0 was idle in its last report, the others had a few requests. A router that uses
+    // reports alone sends everything to e0 until the next report.
+    RouterSimulation simulation(4);
     for (int i = 0; i < 4; ++i) {
-        caller.choice.onReport(reportOf(i, i == 0 ? 0 : 3, Start), Start);
+        simulation.selector.onReport(reportOf(i, i == 0 ? 0 : 3, Start), Start);
     }
     std::map<std::string, int> open;
     for (int i = 0; i < 40; ++i) {
         const WorkItem item = itemOf(i);
         const Instant now = Start + i * Millis(10);
-        const EndpointId endpoint(chosenId(caller.choice.select(item, {}, now)));
-        caller.choice.onSent(endpoint, item, now);
+        const EndpointId endpoint(selectedId(simulation.selector.select(item, {}, now)));
+        simulation.selector.onSent(endpoint, item, now);
         ++open[endpoint.text()];
     }
     for (const auto &[endpoint, count] : open) {
@@ -251,232 +257,235 @@
     }
 }
 
-TEST(EndpointChoice, StaysInItsDomainWhileThatHasRoom)
+TEST(EndpointSelector, StaysInOwnDomainWhileItHasCapacity)
 {
-    // Work that leaves its domain pays the way there and back on each token's path; work
-    // that stays at any price waits for a slot while the next domain idles.
-    EndpointSelector choice(Here, oneRouter());
-    choice.setEndpoints({specOf(0), specOf(1), specOf(2, There), specOf(3, There)}, Start);
-    int away = 0;
+    // Requests sent to another domain pay a round trip; requests that never leave their domain
+    // wait for a slot while the next domain idles.
+    EndpointSelector selector(Here, singleRouterSettings());
+    selector.setEndpoints({specOf(0), specOf(1), specOf(2, There), specOf(3, There)}, Start);
+    int remote = 0;
     for (int i = 0; i < 60; ++i) {
         const WorkItem item = itemOf(i);
         const Instant now = Start + i * Millis(100);
-        const EndpointId endpoint(chosenId(choice.select(item, {}, now)));
-        choice.onSent(endpoint, item, now);
-        choice.onFirstToken(endpoint, item.request, now + Millis(30));
-        const bool left = endpoint.text() == "e2" || endpoint.text() == "e3";
-        away += left ? 1 : 0;
+        const EndpointId endpoint(selectedId(selector.select(item, {}, now)));
+        selector.onSent(endpoint, item, now);
+        selector.onFirstToken(endpoint, item.request, now + Millis(30));
+        const bool isRemote = endpoint.text() == "e2" || endpoint.text() == "e3";
+        remote += isRemote ? 1 : 0;
         if (i < 36) {
-            EXPECT_FALSE(left) << "request " << i << " left its domain early";
+            EXPECT_FALSE(isRemote) << "request " << i << " left its domain early";
         }
     }
-    EXPECT_GE(away, 18) << "40 slots are here, 60 requests came";
+    EXPECT_GE(remote, 18) << "40 slots are here, 60 requests came";
 }
 
-TEST(EndpointChoice, AvoidsAnEndpointWithoutKvMemory)
+TEST(EndpointSelector, AvoidsEndpointWithoutFreeKvMemory)
 {
-    // An engine out of KV memory preempts requests and prefills them again: their streams
-    // stall in the middle.
-    Caller caller(3);
+    // An engine that is out of KV memory preempts requests and prefills them again, so their
+    // streams stall.
+    RouterSimulation simulation(3);
     LoadReport report = reportOf(1, 1, Start);
     report.kvUsed = 0.95;
-    caller.choice.onReport(report, Start);
+    simulation.selector.onReport(report, Start);
     for (int i = 0; i < 50; ++i) {
-        EXPECT_NE(caller.call(i, Start + i * Millis(50), static_cast<uint64_t>(i) + 1), "e1");
+        EXPECT_NE(simulation.sendRequest(i, Start + i * Millis(50), static_cast<uint64_t>(i) + 1),
+                  "e1");
     }
 }
 
 struct OutlierCase
 {
     const char *name;
-    int slow;            ///< endpoints of 9 that are slow
-    int failingCount;    ///< endpoints of 9 that fail
-    int mostToSick;      ///< requests of the last 400 that may reach a sick one
-    std::size_t mostOut; ///< endpoints that may be out at once
+    int slow;               ///< endpoints of 9 that are slow
+    int failingCount;       ///< endpoints of 9 that fail
+    int maxToFaulty;        ///< requests of the last 400 that may reach a faulty endpoint
+    std::size_t maxEjected; ///< endpoints that may be ejected at the same time
 };
 
 class Outliers : public testing::TestWithParam<OutlierCase>
 {};
 
-// An endpoint is ten times slower, or fails what it gets. Its callers wait or lose their
-// request for as long as it is sent work. A fault seen at all endpoints is not theirs,
-// and ejecting them would leave nobody to serve.
+// An endpoint is ten times slower, or fails its requests. Callers are affected for as long as
+// it gets requests. A fault seen at all endpoints has another cause, and ejecting them would
+// leave no endpoint.
 constexpr OutlierCase OutlierCases[] = {
         {"OneSlow", 1, 0, 12, 1},  {"OneFailing", 0, 1, 12, 1},  {"TwoSlowOneFailing", 2, 1, 36, 3},
         {"AllSlow", 9, 0, 400, 0}, {"AllFailing", 0, 9, 400, 0}, {"HalfSlow", 5, 0, 400, 3},
 };
 
-TEST_P(Outliers, AreEjectedBesideTheirPeersUpToAThird)
+TEST_P(Outliers, AreEjectedUpToAThirdOfThePeers)
 {
     const OutlierCase &row = GetParam();
-    Caller caller(9);
+    RouterSimulation simulation(9);
     for (int i = 0; i < row.slow; ++i) {
-        caller.firstToken["e" + std::to_string(i)] = Millis(300);
+        simulation.firstToken["e" + std::to_string(i)] = Millis(300);
     }
     for (int i = 0; i < row.failingCount; ++i) {
-        caller.failing["e" + std::to_string(row.slow + i)] = true;
+        simulation.failing["e" + std::to_string(row.slow + i)] = true;
     }
-    int sick = 0;
+    int toFaulty = 0;
     for (int i = 0; i < 1200; ++i) {
         const Instant now = Start + i * Millis(50);
-        const std::string endpoint = caller.call(i, now);
+        const std::string endpoint = simulation.sendRequest(i, now);
         const int number = endpoint.empty() ? 0 : std::stoi(endpoint.substr(1));
-        sick += i >= 800 && number < row.slow + row.failingCount ? 1 : 0;
-        EXPECT_LE(caller.choice.unserved(Chat, now).size(), row.mostOut);
+        toFaulty += i >= 800 && number < row.slow + row.failingCount ? 1 : 0;
+        EXPECT_LE(simulation.selector.unusableEndpoints(Chat, now).size(), row.maxEjected);
     }
-    EXPECT_LE(sick, row.mostToSick);
+    EXPECT_LE(toFaulty, row.maxToFaulty);
 }
 
 INSTANTIATE_TEST_SUITE_P(Faults, Outliers, testing::ValuesIn(OutlierCases),
                          [](const auto &row) { return std::string(row.param.name); });
 
-TEST(EndpointChoice, SendsOneProbeAtATimeToAnEndpointThatReturns)
+TEST(EndpointSelector, SendsOneProbeAtATimeAfterEjection)
 {
-    // A slow endpoint's ejection ends. Until it has proved itself no second caller may
-    // wait on it, nor may a call that runs at most once.
-    Caller caller(9);
-    caller.firstToken["e0"] = Millis(600);
+    // A slow endpoint's ejection ends. Until its probes succeed it gets one request at a time,
+    // and none that isn't idempotent.
+    RouterSimulation simulation(9);
+    simulation.firstToken["e0"] = Millis(600);
     int i = 0;
-    while (caller.choice.unserved(Chat, Start + i * Millis(20)).empty()) {
+    while (simulation.selector.unusableEndpoints(Chat, Start + i * Millis(20)).empty()) {
         ASSERT_LT(i, 1000);
-        caller.call(i, Start + i * Millis(20));
+        simulation.sendRequest(i, Start + i * Millis(20));
         ++i;
     }
-    const Instant back = Start + i * Millis(20) + Seconds(11);
-    WorkItem once = itemOf(9000);
-    once.idempotent = false;
-    EXPECT_NE(chosenId(caller.choice.select(once, {}, back)), "e0");
+    const Instant ejectionEnd = Start + i * Millis(20) + Seconds(11);
+    WorkItem nonIdempotent = itemOf(9000);
+    nonIdempotent.idempotent = false;
+    EXPECT_NE(selectedId(simulation.selector.select(nonIdempotent, {}, ejectionEnd)), "e0");
     const WorkItem probe = itemOf(9001);
-    ASSERT_EQ(chosenId(caller.choice.select(probe, {}, back)), "e0");
-    caller.choice.onSent(EndpointId("e0"), probe, back);
+    ASSERT_EQ(selectedId(simulation.selector.select(probe, {}, ejectionEnd)), "e0");
+    simulation.selector.onSent(EndpointId("e0"), probe, ejectionEnd);
     for (int next = 0; next < 50; ++next) {
-        EXPECT_NE(chosenId(caller.choice.select(itemOf(9100 + next), {}, back)), "e0");
+        EXPECT_NE(selectedId(simulation.selector.select(itemOf(9100 + next), {}, ejectionEnd)),
+                  "e0");
     }
 }
 
-TEST(EndpointChoice, FillsAnEndpointThatComesBackSlowly)
+TEST(EndpointSelector, SlowStartsReturningEndpoint)
 {
-    // An endpoint was unreachable and is back, idle. Given its full share at once, its cold
-    // cache makes all of these callers wait.
-    Caller caller(4);
+    // An endpoint that was unreachable returns idle. If it got its full share at once, its cold
+    // cache would delay all of these requests.
+    RouterSimulation simulation(4);
     LoadReport report = reportOf(0, 0, Start);
     report.reachable = false;
-    caller.choice.onReport(report, Start);
+    simulation.selector.onReport(report, Start);
     report.reachable = true;
     report.observedAt = Start + Seconds(1);
-    caller.choice.onReport(report, Start + Seconds(1));
-    int early = 0;
+    simulation.selector.onReport(report, Start + Seconds(1));
+    int toReturning = 0;
     for (int i = 0; i < 40; ++i) {
         const WorkItem item = itemOf(i);
         const Instant now = Start + Seconds(1) + i * Millis(10);
-        const EndpointId endpoint(chosenId(caller.choice.select(item, {}, now)));
-        caller.choice.onSent(endpoint, item, now);
-        early += endpoint == EndpointId("e0") ? 1 : 0;
+        const EndpointId endpoint(selectedId(simulation.selector.select(item, {}, now)));
+        simulation.selector.onSent(endpoint, item, now);
+        toReturning += endpoint == EndpointId("e0") ? 1 : 0;
     }
-    EXPECT_LE(early, 4);
+    EXPECT_LE(toReturning, 4);
 }
 
-TEST(EndpointChoice, CountsTheRoomBesideWhatStaysOpenOnALeavingEndpoint)
+TEST(EndpointSelector, LimitIncludesRequestsOpenAtLeavingEndpoint)
 {
-    // An endpoint is leaving, or is ejected, while its streams go on. Counted against the
-    // room of the others they keep callers out though every slot there is free.
-    Caller caller(2);
+    // An endpoint is leaving or ejected while its streams continue. If these counted against
+    // the capacity of the other endpoints, callers would be refused although slots are free.
+    RouterSimulation simulation(2);
     for (int i = 0; i < 20; ++i) {
-        caller.choice.onSent(EndpointId("e0"), itemOf(i), Start);
+        simulation.selector.onSent(EndpointId("e0"), itemOf(i), Start);
     }
     LoadReport report = reportOf(0, 20, Start);
     report.leaving = true;
-    caller.choice.onReport(report, Start);
-    caller.choice.onReport(reportOf(1, 0, Start), Start);
-    EXPECT_GE(caller.choice.concurrencyLimit(Start), 20U + 19U);
+    simulation.selector.onReport(report, Start);
+    simulation.selector.onReport(reportOf(1, 0, Start), Start);
+    EXPECT_GE(simulation.selector.concurrencyLimit(Start), 20U + 19U);
 }
 
-TEST(EndpointChoice, SharesSlotsWithOtherRouters)
+TEST(EndpointSelector, LimitIsAtLeastAnEqualShare)
 {
-    // Ten routers see the same idle fleet of 200 slots. Each gets an equal part when all
-    // slots are taken, also one that has nothing open, or its callers are refused for ever.
+    // Ten routers share an idle fleet of 200 slots. When all slots are taken each gets an
+    // equal share, also a router without open requests: otherwise its callers would be
+    // refused permanently.
     EndpointSelectorSettings settings;
     settings.routerCount = 10;
-    EndpointSelector choice(Here, settings);
-    EXPECT_EQ(choice.concurrencyLimit(Start), 0U);
-    choice.setEndpoints(fleetOf(10), Start);
-    EXPECT_GE(choice.concurrencyLimit(Start), 100U) << "nobody else is there";
+    EndpointSelector selector(Here, settings);
+    EXPECT_EQ(selector.concurrencyLimit(Start), 0U);
+    selector.setEndpoints(fleetOf(10), Start);
+    EXPECT_GE(selector.concurrencyLimit(Start), 100U) << "no other router has open requests";
     for (int i = 0; i < 10; ++i) {
-        choice.onReport(reportOf(i, 20, Start), Start);
+        selector.onReport(reportOf(i, 20, Start), Start);
     }
-    EXPECT_GE(choice.concurrencyLimit(Start), 19U);
-    EXPECT_LE(choice.concurrencyLimit(Start), 21U);
+    EXPECT_GE(selector.concurrencyLimit(Start), 19U);
+    EXPECT_LE(selector.concurrencyLimit(Start), 21U);
 }
 
-// Callers wait for a prefix to be read that its first home has read: a request or two are open
-// there, the second home has none, and gets the next one. It goes there only once the first
-// home's queue takes longer than reading again.
-struct RereadCase
+// A prefix is prefilled at its second home although its first home has it cached, because the
+// first has a request or two open and the second none. The request should go to the second home
+// only if the first home's queue takes longer than a prefill.
+struct PrefixMissCase
 {
     const char *name;
-    double rereadWeight;
+    double prefixMissWeight;
     uint32_t routers;
-    int open; ///< requests of the prefix that wait at its first home
+    int open; ///< requests of the prefix open at its first home
     bool staysAtHome;
 };
 
-class Reread : public testing::TestWithParam<RereadCase>
+class PrefixMiss : public testing::TestWithParam<PrefixMissCase>
 {};
 
-const RereadCase RereadCases[] = {
-        {"LeavesWithOneOpenIfItIsntWeighed", 0.0, 9, 1, false},
+const PrefixMissCase PrefixMissCases[] = {
+        {"LeavesWithOneOpenIfWeightIsZero", 0.0, 9, 1, false},
         {"StaysWithOneOpen", 3.0, 9, 1, true},
         {"LeavesALongQueue", 3.0, 9, 40, false},
-        {"LeavesWhereRoutersDontSeeTheLoad", 3.0, 2000, 1, false},
+        {"LeavesIfRoutersCannotObserveLoad", 3.0, 2000, 1, false},
 };
 
-TEST_P(Reread, IsWeighedAgainstTheQueueAtHome)
+TEST_P(PrefixMiss, IsComparedWithQueueAtHome)
 {
     EndpointSelectorSettings settings;
     settings.prefixHomes = 2;
     settings.routerCount = GetParam().routers;
-    settings.rereadWeight = GetParam().rereadWeight;
-    EndpointSelector choice(Here, settings);
-    choice.setEndpoints(fleetOf(12), Start);
+    settings.prefixMissWeight = GetParam().prefixMissWeight;
+    EndpointSelector selector(Here, settings);
+    selector.setEndpoints(fleetOf(12), Start);
     const Instant now = Start + std::chrono::minutes(5);
     WorkItem item = itemOf(0, 7);
     item.promptTokens = 9000;
     item.cacheablePrefixTokens = 6000;
-    const EndpointId home = std::get<SelectedEndpoint>(choice.select(item, {}, now)).endpoint;
+    const EndpointId home = std::get<SelectedEndpoint>(selector.select(item, {}, now)).endpoint;
     for (int i = 0; i < GetParam().open; ++i) {
         item.request = itemOf(i + 1, 7).request;
-        choice.onSent(home, item, now);
+        selector.onSent(home, item, now);
     }
-    const EndpointId next = std::get<SelectedEndpoint>(choice.select(item, {}, now)).endpoint;
+    const EndpointId next = std::get<SelectedEndpoint>(selector.select(item, {}, now)).endpoint;
     EXPECT_EQ(next == home, GetParam().staysAtHome);
 }
 
-INSTANTIATE_TEST_SUITE_P(Rows, Reread, testing::ValuesIn(RereadCases),
+INSTANTIATE_TEST_SUITE_P(Rows, PrefixMiss, testing::ValuesIn(PrefixMissCases),
                          [](const auto &row) { return std::string(row.param.name); });
 
-// Callers wait for prompts to be read that an endpoint has read already. Ninety prefixes share
-// twelve endpoints, each router has a few requests at each; a prefix leaves its home with
-// the second request, and at last every endpoint reads every prefix.
+// Prompts are prefilled although another endpoint has their prefix cached. Ninety prefixes share
+// twelve endpoints and each router has a few requests at each: with the load bound a prefix
+// leaves its home with the second request, and finally every endpoint prefills every prefix.
 struct HomesCase
 {
     const char *name;
     uint32_t homes;
-    double mostReaders; ///< endpoints that read a prefix, on average
+    double maxHolders; ///< endpoints that prefill a prefix, on average
 };
 
 class PrefixHomes : public testing::TestWithParam<HomesCase>
 {};
 
-// Before (one home, the bound): 11.4 endpoints a prefix. With two homes: 2.0, and the busiest
-// endpoint has 1.24 times the mean load in place of 1.02.
-const HomesCase HomesCases[] = {{"OneHomeAndTheBound", 0, 12.0}, {"TwoHomes", 2, 3.0}};
+// With one home and the load bound, 11.4 endpoints prefill a prefix. With two homes it is 2.0,
+// and the busiest endpoint has 1.24 times the mean load instead of 1.02.
+const HomesCase HomesCases[] = {{"OneHomeWithLoadBound", 0, 12.0}, {"TwoHomes", 2, 3.0}};
 
-TEST_P(PrefixHomes, BoundWhatIsReadAgain)
+TEST_P(PrefixHomes, LimitRepeatedPrefill)
 {
     constexpr int Routers = 9;
     constexpr int Endpoints = 12;
     constexpr int Prefixes = 90;
-    constexpr int OpenAtOnce = 120;
+    constexpr int MaxOpen = 120;
     EndpointSelectorSettings settings;
     settings.prefixHomes = GetParam().homes;
     settings.routerCount = Routers;
@@ -493,7 +502,7 @@
         RequestId request;
     };
     std::deque<Open> open;
-    std::map<uint64_t, std::set<EndpointId>> readers;
+    std::map<uint64_t, std::set<EndpointId>> holders;
     std::map<EndpointId, int> sent;
     std::mt19937_64 random(7);
     Instant now = Start + std::chrono::minutes(5);
@@ -507,31 +516,31 @@
         const EndpointId endpoint = std::get<SelectedEndpoint>(outcome).endpoint;
         routers[router].onSent(endpoint, item, now);
         open.push_back({router, endpoint, item.request});
-        readers[item.prefixHash].insert(endpoint);
+        holders[item.prefixHash].insert(endpoint);
         ++sent[endpoint];
-        if (open.size() > OpenAtOnce) {
-            const Open done = open.front();
+        if (open.size() > MaxOpen) {
+            const Open oldest = open.front();
             open.pop_front();
-            routers[done.router].onFirstToken(done.endpoint, done.request, now);
+            routers[oldest.router].onFirstToken(oldest.endpoint, oldest.request, now);
             AttemptResult result;
-            result.endpoint = done.endpoint;
-            result.request = done.request;
+            result.endpoint = oldest.endpoint;
+            result.request = oldest.request;
             result.succeeded = true;
-            routers[done.router].onEnd(result, now);
+            routers[oldest.router].onEnd(result, now);
         }
     }
     double total = 0.0;
-    for (const auto &[prefix, endpoints] : readers) {
+    for (const auto &[prefix, endpoints] : holders) {
         total += static_cast<double>(endpoints.size());
     }
-    const double mean = total / static_cast<double>(readers.size());
+    const double mean = total / static_cast<double>(holders.size());
     int busiest = 0;
     for (const auto &[endpoint, count] : sent) {
         busiest = std::max(busiest, count);
     }
     RecordProperty("readers", std::to_string(mean));
     RecordProperty("busiest", std::to_string(busiest * Endpoints / 6000.0));
-    EXPECT_LE(mean, GetParam().mostReaders);
+    EXPECT_LE(mean, GetParam().maxHolders);
     EXPECT_LE(busiest * Endpoints / 6000.0, 1.6);
 }
 
--- a/unittests/Decisions/LinkLoadTest.cpp
+++ b/unittests/Decisions/LinkLoadTest.cpp
@@ -1,4 +1,4 @@
-/// A host whose link fills: who is sent elsewhere, what is refused, and when it ends.
+/// A host whose link is nearly full: when it sheds callers, what it refuses and when it stops.
 
 #include <gtest/gtest.h>
 
@@ -11,7 +11,7 @@
 struct LoadCase
 {
     const char *name;
-    int requestsPerSecond; ///< of 18 KB, each received and sent on
+    int requestsPerSecond; ///< of 18 KB, each received and forwarded
     bool sheds;
     bool refuses;
 };
@@ -19,12 +19,12 @@
 class LinkUnderLoad : public testing::TestWithParam<LoadCase>
 {};
 
-// A link of 10 Mbit/s carries 69 prompts of 18 KB a second each way. Without the limits 90 a
-// second were taken there, of which 15% were answered in time.
+// A link of 10 Mbit/s carries 69 prompts of 18 KB a second in each direction. Without the
+// limits 90 a second were accepted, of which 15% were answered in time.
 const LoadCase LoadCases[] = {{"Idle", 0, false, false},
-                              {"Usual", 30, false, false},
+                              {"Normal", 30, false, false},
                               {"NearlyFull", 57, true, false},
-                              {"Overrun", 90, true, true}};
+                              {"Overloaded", 90, true, true}};
 
 TEST_P(LinkUnderLoad, ShedsBeforeItRefuses)
 {
@@ -60,48 +60,49 @@
 struct ReturnCase
 {
     const char *name;
-    uint32_t mostDoublings;
-    int leastFullSeconds;
-    int mostFullSeconds;
+    uint32_t maxDoublings;
+    int minFullSeconds;
+    int maxFullSeconds;
 };
 
-class LinkOfACallerThatReturns : public testing::TestWithParam<ReturnCase>
+class LinkWithReturningCaller : public testing::TestWithParam<ReturnCase>
 {};
 
-// A caller's requests fail for seconds, again and again: alone it fills this host's link, goes
-// elsewhere two seconds after the host sheds, and is back when the host takes callers again.
-// In two minutes the link was full for 46 s of them, and is for 14 s with longer absences.
-const ReturnCase ReturnCases[] = {{"AlwaysAfterTheSameTime", 0, 40, 50},
-                                  {"LaterEachTime", LinkLoadSettings().mostDoublings, 5, 18}};
+// A single caller fills this host's link, moves to another host two seconds after this one
+// begins to shed load, and returns when it accepts callers again; its requests fail for some
+// seconds each time. In two minutes the link was full for 46 s, and is full for 14 s when the
+// shedding time doubles.
+const ReturnCase ReturnCases[] = {{"ConstantSheddingTime", 0, 40, 50},
+                                  {"DoubledSheddingTime", LinkLoadSettings().maxDoublings, 5, 18}};
 
-TEST_P(LinkOfACallerThatReturns, IsFullLessOften)
+TEST_P(LinkWithReturningCaller, IsFullLessOftenWithLongerShedding)
 {
     constexpr uint64_t Prompt = 18'000;
-    constexpr int RequestsASecond = 150;
-    constexpr int Seconds = 120;
-    constexpr Interval BalancerNotices = std::chrono::seconds(2);
+    constexpr int RequestsPerSecond = 150;
+    constexpr int DurationSeconds = 120;
+    constexpr Interval BalancerDelay = std::chrono::seconds(2);
     LinkLoadSettings settings;
     settings.bytesPerSecond = 10'000'000 / 8;
-    settings.mostDoublings = GetParam().mostDoublings;
+    settings.maxDoublings = GetParam().maxDoublings;
     LinkLoad link(settings);
     Instant now{std::chrono::hours(1)};
-    Instant shedSince = Never;
-    int fullFor = 0;
-    for (int i = 0; i < Seconds * RequestsASecond; ++i) {
-        now += std::chrono::nanoseconds(std::chrono::seconds(1)) / RequestsASecond;
+    Instant sheddingSince = Never;
+    int received = 0;
+    for (int i = 0; i < DurationSeconds * RequestsPerSecond; ++i) {
+        now += std::chrono::nanoseconds(std::chrono::seconds(1)) / RequestsPerSecond;
         const bool sheds = link.shedding(now);
-        shedSince = sheds ? std::min(shedSince, now) : Never;
-        const bool isHere = !sheds || now < shedSince + BalancerNotices;
-        if (isHere) {
+        sheddingSince = sheds ? std::min(sheddingSince, now) : Never;
+        const bool reachesHost = !sheds || now < sheddingSince + BalancerDelay;
+        if (reachesHost) {
             link.onReceived(Prompt, now);
-            ++fullFor;
+            ++received;
         }
     }
-    EXPECT_GE(fullFor / RequestsASecond, GetParam().leastFullSeconds);
-    EXPECT_LE(fullFor / RequestsASecond, GetParam().mostFullSeconds);
+    EXPECT_GE(received / RequestsPerSecond, GetParam().minFullSeconds);
+    EXPECT_LE(received / RequestsPerSecond, GetParam().maxFullSeconds);
 }
 
-INSTANTIATE_TEST_SUITE_P(Rows, LinkOfACallerThatReturns, testing::ValuesIn(ReturnCases),
+INSTANTIATE_TEST_SUITE_P(Rows, LinkWithReturningCaller, testing::ValuesIn(ReturnCases),
                          [](const auto &row) { return std::string(row.param.name); });
 
 TEST(LinkLoad, UnknownLinkIsNeverFull)
--- a/unittests/Decisions/LoadsTest.cpp
+++ b/unittests/Decisions/LoadsTest.cpp
@@ -9,25 +9,25 @@
 
 namespace {
 
-/// A load, and the least that callers must get under it.
+/// A load and the bounds that the results must keep under it.
 struct LoadCase
 {
     const char *name;
     LoadSettings load;
-    double latestP95; ///< first token of interactive short requests, seconds
-    double latestP99;
-    double leastThroughput; ///< in time, over the capacity
-    double leastFairness;
-    double mostRefused; ///< of the requests, after their comebacks
-    double latestRecovery;
-    double leastHitRate;
-    bool designSize = false; ///< engines of the design's size; today's otherwise
+    double maxP95; ///< first token of interactive short requests, seconds
+    double maxP99;
+    double minThroughput; ///< completed in time, over the capacity
+    double minFairness;
+    double maxRefused; ///< share of the requests, after their retries
+    double maxRecovery;
+    double minHitRate;
+    bool designSize = false; ///< a fleet of the design size instead of today's
 };
 
-class CallersUnder : public testing::TestWithParam<LoadCase>
+class FleetUnderLoad : public testing::TestWithParam<LoadCase>
 {};
 
-/// The first user's today.
+/// The first user's present fleet.
 FleetSettings smallFleet()
 {
     FleetSettings fleet;
@@ -50,7 +50,7 @@
 }
 
 /// Ten times the load for five seconds. Without limits the engines' own queues grow, and
-/// callers wait for seconds long after the burst is over.
+/// callers wait for seconds, even long after the burst.
 LoadSettings burst()
 {
     LoadSettings load = steady(0.5);
@@ -61,15 +61,15 @@
     return load;
 }
 
-/// A few prefixes take most of the load. Sent by hash alone they overrun their home;
-/// spread without regard to prefixes each endpoint prefills them anew.
+/// A few prefixes make up most of the load. Placed by hash alone they overload their homes;
+/// spread without regard to prefixes they are prefilled by every endpoint.
 LoadSettings hotKeys()
 {
     return steady(0.7);
 }
 
-/// One endpoint answers ten times slower and fails nothing, so every probe calls it
-/// healthy; a share of the callers waits ten times as long.
+/// One endpoint is ten times slower but fails no request, so it passes every health check,
+/// and some of the callers wait ten times as long.
 LoadSettings slowEndpoint()
 {
     LoadSettings load = steady(0.6);
@@ -77,8 +77,8 @@
     return load;
 }
 
-/// One endpoint turns nine requests in ten away at once. It is always idle, and least in
-/// flight therefore sends it everything.
+/// One endpoint rejects nine requests in ten at once. It is therefore always idle, and
+/// selection by least requests in flight sends it everything.
 LoadSettings failingEndpoint()
 {
     LoadSettings load = steady(0.6);
@@ -87,8 +87,8 @@
     return load;
 }
 
-/// One request in a hundred has a hundred times the prompt. A short one behind it waits
-/// 2.5 s for its first token.
+/// One request in a hundred has a prompt a hundred times as long. A short request behind it
+/// waits 2.5 s for its first token.
 LoadSettings longAmongShort()
 {
     LoadSettings load = steady(0.6);
@@ -96,8 +96,8 @@
     return load;
 }
 
-/// More than can be served, for long. Let in without limits all callers wait, the later
-/// the longer, and the few large workspaces take what there is.
+/// A sustained load above the capacity. Without admission limits all callers wait, later
+/// ones longer, and the few large workspaces take the available capacity.
 LoadSettings saturation()
 {
     LoadSettings load = steady(1.5);
@@ -106,7 +106,8 @@
     return load;
 }
 
-/// An endpoint returns after a minute. Idle and cold, it draws everything at once.
+/// An endpoint returns after a minute. Being idle, it attracts all requests while its cache
+/// is cold.
 LoadSettings returning()
 {
     LoadSettings load = steady(0.6);
@@ -116,12 +117,12 @@
 
 Policy policyUnderTest(const FleetSettings &fleet)
 {
-    EndpointSelectorSettings choice;
-    choice.routerCount = fleet.routers;
-    return sequoiagatePolicy({}, choice);
+    EndpointSelectorSettings selector;
+    selector.routerCount = fleet.routers;
+    return sequoiagatePolicy({}, selector);
 }
 
-TEST_P(CallersUnder, GetTheirAnswersInTime)
+TEST_P(FleetUnderLoad, MeetsLatencyAndFairnessBounds)
 {
     const LoadCase &row = GetParam();
     const FleetSettings fleet = row.designSize ? FleetSettings{} : smallFleet();
@@ -130,16 +131,16 @@
     for (const auto &[reason, count] : outcome.refused) {
         refused += count;
     }
-    EXPECT_LE(outcome.brief.p95, row.latestP95);
-    EXPECT_LE(outcome.brief.p99, row.latestP99);
-    EXPECT_GE(outcome.goodput, row.leastThroughput);
-    EXPECT_GE(outcome.fairness, row.leastFairness);
-    EXPECT_LE(static_cast<double>(refused), row.mostRefused * static_cast<double>(outcome.offered));
-    EXPECT_EQ(outcome.served + refused, outcome.offered) << "somebody never got an answer";
+    EXPECT_LE(outcome.brief.p95, row.maxP95);
+    EXPECT_LE(outcome.brief.p99, row.maxP99);
+    EXPECT_GE(outcome.goodput, row.minThroughput);
+    EXPECT_GE(outcome.fairness, row.minFairness);
+    EXPECT_LE(static_cast<double>(refused), row.maxRefused * static_cast<double>(outcome.offered));
+    EXPECT_EQ(outcome.served + refused, outcome.offered) << "requests without any outcome";
     EXPECT_LE(outcome.amplification, 1.1);
-    EXPECT_GE(outcome.hitRate, row.leastHitRate);
+    EXPECT_GE(outcome.hitRate, row.minHitRate);
     if (row.load.burstFactor > 1.0) {
-        EXPECT_LE(outcome.recovery, row.latestRecovery);
+        EXPECT_LE(outcome.recovery, row.maxRecovery);
     }
 }
 
@@ -154,7 +155,7 @@
         {"ReturningEndpoint", returning(), 0.1, 0.15, 0.5, 0.99, 0.0, 0.0, 0.75},
 };
 
-INSTANTIATE_TEST_SUITE_P(Loads, CallersUnder, testing::ValuesIn(LoadCases),
+INSTANTIATE_TEST_SUITE_P(Loads, FleetUnderLoad, testing::ValuesIn(LoadCases),
                          [](const auto &row) { return std::string(row.param.name); });
 
 } // namespace
--- a/unittests/Decisions/RetryBudgetTest.cpp
+++ b/unittests/Decisions/RetryBudgetTest.cpp
@@ -21,19 +21,19 @@
 class MayRetry : public testing::TestWithParam<RetryCase>
 {};
 
-// A caller of a booking sees two bookings when a try that may have run is made
-// again. Only a try that reached no endpoint is repeated then; work that may be
-// repeated is, unless it is known to have run.
+// If an attempt to make a booking is retried although it may have run, the booking may be
+// made twice. A call that isn't idempotent is retried only if it reached no endpoint; an
+// idempotent one is, unless it is known to have run.
 constexpr RetryCase RetryCases[] = {
         {"NotRunIdempotent", Execution::NotRun, true, true},
-        {"NotRunOnce", Execution::NotRun, false, true},
+        {"NotRunNonIdempotent", Execution::NotRun, false, true},
         {"MayHaveRunIdempotent", Execution::MayHaveRun, true, true},
-        {"MayHaveRunOnce", Execution::MayHaveRun, false, false},
+        {"MayHaveRunNonIdempotent", Execution::MayHaveRun, false, false},
         {"RanIdempotent", Execution::Ran, true, false},
-        {"RanOnce", Execution::Ran, false, false},
+        {"RanNonIdempotent", Execution::Ran, false, false},
 };
 
-TEST_P(MayRetry, ByVerdictAndIdempotence)
+TEST_P(MayRetry, DependsOnVerdictAndIdempotence)
 {
     RetryBudget budget;
     budget.onFirstAttempt(Start);
@@ -44,20 +44,20 @@
 INSTANTIATE_TEST_SUITE_P(Verdicts, MayRetry, testing::ValuesIn(RetryCases),
                          [](const auto &row) { return std::string(row.param.name); });
 
-TEST(RetryBudget, KeepsAnOutageFromMultiplyingTheLoad)
+TEST(RetryBudget, BoundsRetriesDuringAnOutage)
 {
-    // Every try fails for a while. Were each made again, the endpoints that are
-    // left would see twice the load just when they can least bear it.
+    // Every attempt fails for a while. If each were retried, the remaining endpoints would
+    // get twice the load just when they can least handle it.
     RetryBudget budget(0.1);
     const Verdict failed{Execution::NotRun, Reason::EndpointFailed, "", {}};
-    constexpr int FirstTries = 2000;
+    constexpr int FirstAttempts = 2000;
     int retries = 0;
-    for (int i = 0; i < FirstTries; ++i) {
+    for (int i = 0; i < FirstAttempts; ++i) {
         budget.onFirstAttempt(Start);
         retries += budget.mayRetry(failed, true, Start) ? 1 : 0;
     }
-    EXPECT_LE(retries, FirstTries / 10 + 10);
-    EXPECT_GE(retries, FirstTries / 10);
+    EXPECT_LE(retries, FirstAttempts / 10 + 10);
+    EXPECT_GE(retries, FirstAttempts / 10);
 }
 
 } // namespace
