--- a/include/sequoiagate/Decisions/Admission.h
+++ b/include/sequoiagate/Decisions/Admission.h
@@ -43,7 +43,7 @@
 ///   would otherwise wait for one of them to end.
 /// - A refusal names a retry time, taken from a schedule that is paced at a fraction of
 ///   the drain rate. Callers that are given one delay, or delays drawn from one range,
-///   return faster than they can be served, and new callers are refused beside them: a
+///   return faster than they can be served, and new callers are refused as well: a
 ///   tenfold burst of 5 s was still noticeable 22 s after its end.
 ///
 /// Budgets are reserved before a request is offered here, so that no request waits
--- a/include/sequoiagate/Decisions/DistributedRetryBudget.h
+++ b/include/sequoiagate/Decisions/DistributedRetryBudget.h
@@ -22,7 +22,7 @@
 struct DistributedRetryBudgetSettings
 {
     double ratio = 0.2;                         ///< retries per request
-    double baseRetries = 50.0;                  ///< retries beside those, of all processes together
+    double baseRetries = 50.0;                  ///< further retries, of all processes together
     Interval window = std::chrono::seconds(10); ///< over which retries are bounded
     /// Fraction of the bound that is used: the number of processes changes, and windows slide.
     double usableFraction = 0.7;
--- a/include/sequoiagate/Decisions/EndpointSelector.h
+++ b/include/sequoiagate/Decisions/EndpointSelector.h
@@ -14,7 +14,7 @@
 ///
 /// The load is measured in two ways: by the reports, which lag, and by this router's own
 /// requests relative to its share of the total. The second knows nothing of other routers
-/// but is never late. If each router keeps to it the sum stays even, and no router
+/// but is never late. If each router respects it the total stays even, and no router
 /// overloads an endpoint that the reports still show as idle.
 ///
 /// The criteria, in order:
@@ -56,13 +56,13 @@
 struct UnusableEndpoint
 {
     EndpointId endpoint;
-    std::string reason; ///< "leaving", "ejected", "unreachable", "full", ...
+    std::string reason; ///< "leaving", "unreachable", "ejected" or "probing"
 };
 
 struct SelectedEndpoint
 {
     EndpointId endpoint;
-    std::string reason; ///< "prefix", "least_loaded", "spill", ...
+    std::string reason; ///< "prefix_home", "least_loaded", "spill", ...
 };
 
 using SelectionOutcome = std::variant<SelectedEndpoint, Verdict>;
--- a/lib/Decisions/EndpointSelector.cpp
+++ b/lib/Decisions/EndpointSelector.cpp
@@ -113,7 +113,7 @@
 
 double EndpointSelector::loadSeconds(const Candidate &candidate)
 {
-    // Prompts that wait for their first token, and a small amount for each open stream.
+    // The expected prefill of requests without a first token, and a little for each open stream.
     constexpr double StreamSeconds = 0.02;
     return secondsOf(candidate.endpoint->health.pendingWork())
            + StreamSeconds * candidate.endpoint->load.ownRequests();
@@ -578,12 +578,13 @@
     const double share = shareOf(ownAtReport, reported);
     const double total = std::max(requests, own / share);
     // Sum over all endpoints before taking the difference: an overloaded endpoint must reduce
-    // the room of the others, or uneven selections overload the fleet.
-    const double room = settings_.maxUtilization * slots - total;
+    // the free slots of the others, or uneven selections overload the fleet.
+    const double freeSlots = settings_.maxUtilization * slots - total;
     const double equalShare = 1.0 / std::max(settings_.routerCount, 1U);
     // An increase is half equal for all routers and half proportional, a decrease is
     // proportional, so that their shares converge (Chiu and Jain, 1989).
-    const double change = room > 0.0 ? room * (share + equalShare) / 2.0 : room * share;
+    const double change =
+            freeSlots > 0.0 ? freeSlots * (share + equalShare) / 2.0 : freeSlots * share;
     const double minLimit = std::max(settings_.maxUtilization * slots * equalShare, 1.0);
     return static_cast<uint32_t>(std::max(own + change, minLimit) + ownElsewhere);
 }
--- a/lib/Decisions/PrefillLimit.cpp
+++ b/lib/Decisions/PrefillLimit.cpp
@@ -10,7 +10,7 @@
 constexpr double DecreaseFactor = 0.8;
 /// A first token is late after this many times the time an unloaded endpoint takes.
 constexpr double LateFactor = 3.0;
-/// Far above what any engine can use; bounds the limit's growth.
+/// Far above what any engine can use; bounds the growth of the limit under light load.
 constexpr double MaxLimit = 4096.0;
 
 } // namespace
--- a/unittests/Decisions/LinkLoadTest.cpp
+++ b/unittests/Decisions/LinkLoadTest.cpp
@@ -20,7 +20,7 @@
 {};
 
 // A link of 10 Mbit/s carries 69 prompts of 18 KB a second in each direction. Without the
-// limits 90 a second were accepted, of which 15% were answered in time.
+// limits 90 a second were accepted, of which 15% got a response in time.
 const LoadCase LoadCases[] = {{"Idle", 0, false, false},
                               {"Normal", 30, false, false},
                               {"NearlyFull", 57, true, false},
