--- a/include/sequoiagate/Ledger/Charge.h
+++ b/include/sequoiagate/Ledger/Charge.h
@@ -50,7 +50,7 @@
     uint64_t promptTokens = 0;
     uint64_t maxOutputTokens = 0;
     uint64_t tokensPerEvent = 0;
-    std::vector<AttemptEnd> attempts;
+    std::vector<AttemptOutcome> attempts;
     uint64_t eventsForwarded = 0;               ///< of a stream, from all endpoints
     bool nonStreamingResponseForwarded = false; ///< a success that is no stream, whole or in part
 };
--- a/include/sequoiagate/Proxy/CallerConnection.h
+++ b/include/sequoiagate/Proxy/CallerConnection.h
@@ -58,7 +58,7 @@
     /// The error with which the caller's connection has ended, if that is known already.
     ErrorCode endOfPeer();
     void closeByPeer(const ErrorCode &error);
-    void refuseRequest(HttpFault fault);
+    void refuseRequest(HttpParseError fault);
     void answered(bool keepAlive);
     /// Says for how long an idle connection may be used again, if it is kept.
     void nameIdleLimit(ResponseHead &head) const;
@@ -67,7 +67,7 @@
     void onTimer();
     void queue(std::string bytes);
     void write();
-    void close(CallerClose why, const ErrorCode &error = ErrorCode());
+    void close(CallerCloseReason why, const ErrorCode &error = ErrorCode());
 
     ProxyContext &context_;
     boost::asio::ip::tcp::socket socket_;
--- a/include/sequoiagate/Proxy/Exchange.h
+++ b/include/sequoiagate/Proxy/Exchange.h
@@ -47,7 +47,7 @@
 
     void start();
     /// The caller's connection is closed. \param detail the error, if there was one
-    void callerGone(CallerClose why, const std::string &detail);
+    void callerGone(CallerCloseReason why, const std::string &detail);
     /// Ends it at once, since the process ends, and tells its caller whether it may have run.
     void cutOff();
     /// The caller took bytes: more may be read from the endpoint.
@@ -71,7 +71,7 @@
         bool firstEvent = false;
         bool passThrough = false; ///< a plain answer too large to be held
         /// How it counts if it ends now. An end that nobody told counts as a cut.
-        AttemptEnd end = AttemptEnd::ConnectionLost;
+        AttemptOutcome end = AttemptOutcome::ConnectionLost;
     };
 
     void decide();
@@ -114,7 +114,7 @@
     void settle();
     uint64_t spentTokens() const;
     /// Notes that the open attempt, if any, is broken off by this side.
-    void noteBrokenOff(AttemptEnd end);
+    void noteBrokenOff(AttemptOutcome end);
     WorkItem workItem() const;
     Interval remaining(Instant now) const;
     void log(Event event);
@@ -138,12 +138,12 @@
     bool holdsTokens_ = false;
     std::optional<Attempt> attempt_;
     std::vector<EndpointId> tried_;
-    uint32_t sends_ = 0;           ///< endpoints that a byte of it was, or may have been, sent to
-    uint32_t unconnected_ = 0;     ///< endpoints that it could not connect to
-    uint32_t possibleRuns_ = 0;    ///< of these, that may have begun to run it
-    std::vector<AttemptEnd> ends_; ///< of all attempts but an open one
-    bool streaming_ = false;       ///< the caller has the head of a stream
-    bool plainAnswerTold_ = false; ///< of a success, whole or in part
+    uint32_t sends_ = 0;        ///< endpoints that a byte of it was, or may have been, sent to
+    uint32_t unconnected_ = 0;  ///< endpoints that it could not connect to
+    uint32_t possibleRuns_ = 0; ///< of these, that may have begun to run it
+    std::vector<AttemptOutcome> ends_; ///< of all attempts but an open one
+    bool streaming_ = false;           ///< the caller has the head of a stream
+    bool plainAnswerTold_ = false;     ///< of a success, whole or in part
     uint64_t eventsTold_ = 0;
     std::optional<uint64_t> lastEvent_;
     std::shared_ptr<Exchange> self_; ///< while it is open
--- a/include/sequoiagate/Proxy/HttpReader.h
+++ b/include/sequoiagate/Proxy/HttpReader.h
@@ -50,7 +50,7 @@
     bool begun() const { return begun_; }
     bool hasHead() const { return hasHead_; }
     bool done() const { return done_; }
-    HttpFault fault() const { return fault_; }
+    HttpParseError fault() const { return fault_; }
     /// \pre hasHead()
     const Head &head() const { return head_; }
     Head &head() { return head_; }
@@ -85,7 +85,7 @@
     bool begun_ = false;
     bool hasHead_ = false;
     bool done_ = false;
-    HttpFault fault_ = HttpFault::None;
+    HttpParseError fault_ = HttpParseError::None;
 };
 
 using RequestReader = HttpReader<true>;
--- a/lib/Config/ConfigFold.cpp
+++ b/lib/Config/ConfigFold.cpp
@@ -5,8 +5,8 @@
 
 #include <fmt/format.h>
 
-#include "ConfigDraft.h"
 #include "SortedEntries.h"
+#include "StagedConfigChange.h"
 
 namespace sequoiagate {
 
--- a/lib/Config/CsvReader.cpp
+++ b/lib/Config/CsvReader.cpp
@@ -1,4 +1,4 @@
-#include "SheetReader.h"
+#include "CsvReader.h"
 
 #include <memory>
 
--- a/lib/Config/Sheet.cpp
+++ b/lib/Config/Sheet.cpp
@@ -10,7 +10,7 @@
 
 #include <fmt/format.h>
 
-#include "SheetReader.h"
+#include "CsvReader.h"
 
 namespace sequoiagate {
 
--- a/lib/Config/StagedConfigChange.cpp
+++ b/lib/Config/StagedConfigChange.cpp
@@ -1,4 +1,4 @@
-#include "ConfigDraft.h"
+#include "StagedConfigChange.h"
 
 #include <algorithm>
 
--- a/lib/Edge/StatusServer.cpp
+++ b/lib/Edge/StatusServer.cpp
@@ -51,7 +51,7 @@
                     self->reader_->feed(std::string_view(self->buffer_.data(), bytes));
                     if (self->reader_->done()) {
                         self->answer();
-                    } else if (self->reader_->fault() == HttpFault::None) {
+                    } else if (self->reader_->fault() == HttpParseError::None) {
                         self->read();
                     } else {
                         self->timer_.disarm();
--- a/lib/Ledger/Charge.cpp
+++ b/lib/Ledger/Charge.cpp
@@ -9,7 +9,7 @@
 
 struct EndRule
 {
-    AttemptEnd end;
+    AttemptOutcome end;
     bool mayHaveRun;
     uint64_t unreadEvents; ///< that may have been on their way
 };
@@ -18,18 +18,18 @@
 constexpr uint64_t OverrunEvents = 8;
 
 constexpr EndRule EndRules[] = {
-        {AttemptEnd::NotConnected, false, 0},
-        {AttemptEnd::NotExecuted, false, 0},
-        {AttemptEnd::ConnectionLost, true, OverrunEvents},
-        {AttemptEnd::Cancelled, true, OverrunEvents},
-        {AttemptEnd::Stalled, true, OverrunEvents},
-        {AttemptEnd::TimedOut, true, OverrunEvents},
-        {AttemptEnd::ResponseRejected, true, 0},
-        {AttemptEnd::Failed, true, 0},
-        {AttemptEnd::Completed, true, 0},
+        {AttemptOutcome::NotConnected, false, 0},
+        {AttemptOutcome::NotExecuted, false, 0},
+        {AttemptOutcome::ConnectionLost, true, OverrunEvents},
+        {AttemptOutcome::Cancelled, true, OverrunEvents},
+        {AttemptOutcome::Stalled, true, OverrunEvents},
+        {AttemptOutcome::TimedOut, true, OverrunEvents},
+        {AttemptOutcome::ResponseRejected, true, 0},
+        {AttemptOutcome::Failed, true, 0},
+        {AttemptOutcome::Completed, true, 0},
 };
 
-const EndRule &ruleOf(AttemptEnd end)
+const EndRule &ruleOf(AttemptOutcome end)
 {
     const auto *rule = std::find_if(std::begin(EndRules), std::end(EndRules),
                                     [end](const EndRule &each) { return each.end == end; });
@@ -45,7 +45,7 @@
 {
     bool mayHaveRun = false;
     uint64_t unreadEvents = 0;
-    for (const AttemptEnd end : use.attempts) {
+    for (const AttemptOutcome end : use.attempts) {
         const EndRule &rule = ruleOf(end);
         mayHaveRun = mayHaveRun || rule.mayHaveRun;
         unreadEvents = std::max(unreadEvents, rule.unreadEvents);
--- a/lib/Proxy/CallerCloseReason.cpp
+++ b/lib/Proxy/CallerCloseReason.cpp
@@ -6,23 +6,23 @@
 
 struct CloseName
 {
-    CallerClose why;
+    CallerCloseReason why;
     std::string_view name;
 };
 
 constexpr CloseName CloseNames[] = {
-        {CallerClose::Answered, "answered"},
-        {CallerClose::PeerClosed, "peer_closed"},
-        {CallerClose::ReadFailed, "read_failed"},
-        {CallerClose::WriteFailed, "write_failed"},
-        {CallerClose::Idle, "idle"},
-        {CallerClose::Drained, "drained"},
-        {CallerClose::StopForced, "stop_forced"},
+        {CallerCloseReason::Answered, "answered"},
+        {CallerCloseReason::PeerClosed, "peer_closed"},
+        {CallerCloseReason::ReadFailed, "read_failed"},
+        {CallerCloseReason::WriteFailed, "write_failed"},
+        {CallerCloseReason::Idle, "idle"},
+        {CallerCloseReason::Drained, "drained"},
+        {CallerCloseReason::StopForced, "stop_forced"},
 };
 
 } // namespace
 
-std::string_view callerCloseName(CallerClose why)
+std::string_view callerCloseName(CallerCloseReason why)
 {
     for (const CloseName &row : CloseNames) {
         if (row.why == why) {
--- a/lib/Proxy/CallerConnection.cpp
+++ b/lib/Proxy/CallerConnection.cpp
@@ -46,15 +46,15 @@
 
 struct FaultStatus
 {
-    HttpFault fault;
+    HttpParseError fault;
     int status;
     bool byConfig; ///< another configuration may allow it
 };
 
-constexpr FaultStatus FaultStatuses[] = {{HttpFault::HeaderTooLarge, 431, true},
-                                         {HttpFault::BodyTooLarge, 413, true}};
+constexpr FaultStatus FaultStatuses[] = {{HttpParseError::HeaderTooLarge, 431, true},
+                                         {HttpParseError::BodyTooLarge, 413, true}};
 
-FaultStatus statusOf(HttpFault fault)
+FaultStatus statusOf(HttpParseError fault)
 {
     for (const FaultStatus &row : FaultStatuses) {
         if (row.fault == fault) {
@@ -132,7 +132,7 @@
         armTimer(limitsOf(context_).headerTimeout);
     }
     body_ += reader_->takeBody();
-    if (reader_->fault() != HttpFault::None) {
+    if (reader_->fault() != HttpParseError::None) {
         refuseRequest(reader_->fault());
         return;
     }
@@ -159,7 +159,7 @@
 void CallerConnection::closeByPeer(const ErrorCode &error)
 {
     const bool ended = error == asio::error::eof;
-    close(ended ? CallerClose::PeerClosed : CallerClose::ReadFailed, error);
+    close(ended ? CallerCloseReason::PeerClosed : CallerCloseReason::ReadFailed, error);
 }
 
 void CallerConnection::beginExchange()
@@ -189,7 +189,7 @@
     }
 }
 
-void CallerConnection::refuseRequest(HttpFault fault)
+void CallerConnection::refuseRequest(HttpParseError fault)
 {
     const FaultStatus row = statusOf(fault);
     const bool isFinal = !row.byConfig || context_.configIsCurrent();
@@ -297,11 +297,11 @@
 void CallerConnection::onTimer()
 {
     if (lingering_ || closeWhenWritten_) {
-        close(CallerClose::Answered);
+        close(CallerCloseReason::Answered);
         return;
     }
     if (!reader_->begun()) {
-        close(CallerClose::Idle);
+        close(CallerCloseReason::Idle);
         return;
     }
     // A request that didn't come in time hasn't run.
@@ -315,7 +315,7 @@
 {
     const bool waits = !exchange_ && reader_ && !reader_->begun() && unread_.empty();
     if (waits && outgoing_.empty() && !writing_) {
-        close(CallerClose::Drained);
+        close(CallerCloseReason::Drained);
     }
 }
 
@@ -327,13 +327,13 @@
         return;
     }
     if (!closeWhenWritten_) {
-        close(CallerClose::StopForced);
+        close(CallerCloseReason::StopForced);
     }
 }
 
 void CallerConnection::forceClose()
 {
-    close(CallerClose::StopForced);
+    close(CallerCloseReason::StopForced);
 }
 
 void CallerConnection::queue(std::string bytes)
@@ -378,7 +378,7 @@
                               return;
                           }
                           if (error) {
-                              self->close(CallerClose::WriteFailed, error);
+                              self->close(CallerCloseReason::WriteFailed, error);
                               return;
                           }
                           if (self->exchange_) {
@@ -388,7 +388,7 @@
                       });
 }
 
-void CallerConnection::close(CallerClose why, const ErrorCode &error)
+void CallerConnection::close(CallerCloseReason why, const ErrorCode &error)
 {
     if (isClosed_) {
         return;
--- a/lib/Proxy/Exchange.cpp
+++ b/lib/Proxy/Exchange.cpp
@@ -294,7 +294,7 @@
     if (!context_.placement.mayRetry(service_->name, std::chrono::steady_clock::now())) {
         return;
     }
-    noteBrokenOff(AttemptEnd::Stalled);
+    noteBrokenOff(AttemptOutcome::Stalled);
     dropAttempt(false);
     position_.handle("cut");
     tryElsewhere("the endpoint is silent");
@@ -327,7 +327,7 @@
     if (foreign || spoilt) {
         // An answer to somebody else's request, come late, or not the endpoint's own. What
         // follows on this connection can't be trusted either.
-        attempt_->end = AttemptEnd::ResponseRejected;
+        attempt_->end = AttemptOutcome::ResponseRejected;
         dropAttempt(false);
         runAgainOrFail(foreign ? "another request's answer came" : "the answer is spoilt");
         return;
@@ -441,7 +441,7 @@
         runAgainOrFail("the stream ended inside an event");
         return;
     }
-    attempt_->end = AttemptEnd::Completed;
+    attempt_->end = AttemptOutcome::Completed;
     endAttempt(true);
     sink_.endStream();
     finish("whole", "answered", 200);
@@ -451,7 +451,7 @@
 {
     const int status = attempt_->head.status;
     const bool failed = status >= 500;
-    attempt_->end = attempt_->answering ? AttemptEnd::Completed : AttemptEnd::Failed;
+    attempt_->end = attempt_->answering ? AttemptOutcome::Completed : AttemptOutcome::Failed;
     if (failed && mayRunAgain()
         && context_.placement.mayRetry(service_->name, std::chrono::steady_clock::now())) {
         endAttempt(false);
@@ -487,7 +487,7 @@
     if (status == 421) {
         context_.placement.onStaleEndpoint(endpoint, now);
     }
-    attempt_->end = AttemptEnd::NotExecuted;
+    attempt_->end = AttemptOutcome::NotExecuted;
     endAttempt(status != 421);
     position_.handle("not_run");
     const std::string why = fmt::format("endpoint {} refused with {}", endpoint.text(), status);
@@ -523,7 +523,7 @@
     if (!ownLink) {
         context_.placement.onStaleEndpoint(attempt_->endpoint, now);
     }
-    attempt_->end = AttemptEnd::NotConnected;
+    attempt_->end = AttemptOutcome::NotConnected;
     endAttempt(false);
     position_.handle("not_run");
     ++unconnected_;
@@ -641,7 +641,7 @@
         return;
     }
     if (possibleRuns_ > 0) {
-        noteBrokenOff(AttemptEnd::TimedOut);
+        noteBrokenOff(AttemptOutcome::TimedOut);
         fail(Reason::Timeout, "the time for this request is over", 504);
         return;
     }
@@ -649,7 +649,7 @@
             std::chrono::steady_clock::now() + ComeBackSoon});
 }
 
-void Exchange::callerGone(CallerClose why, const std::string &detail)
+void Exchange::callerGone(CallerCloseReason why, const std::string &detail)
 {
     if (ended() || !self_) {
         return;
@@ -659,7 +659,7 @@
                 .with("detail", detail)
                 .with("passed_on", possibleRuns_ > 0)
                 .with("answering", streaming_));
-    noteBrokenOff(AttemptEnd::Cancelled);
+    noteBrokenOff(AttemptOutcome::Cancelled);
     dropAttempt(true);
     finish("hang_up", "cancelled", 0);
 }
@@ -671,7 +671,7 @@
     }
     const std::string why = "the process ends";
     if (possibleRuns_ > 0) {
-        noteBrokenOff(AttemptEnd::Cancelled);
+        noteBrokenOff(AttemptOutcome::Cancelled);
         fail(Reason::Draining, why, 502);
         return;
     }
@@ -679,10 +679,10 @@
             std::chrono::steady_clock::now() + ComeBackElsewhere});
 }
 
-void Exchange::noteBrokenOff(AttemptEnd end)
+void Exchange::noteBrokenOff(AttemptOutcome end)
 {
     if (attempt_) {
-        attempt_->end = attempt_->connection->wasConnected() ? end : AttemptEnd::NotConnected;
+        attempt_->end = attempt_->connection->wasConnected() ? end : AttemptOutcome::NotConnected;
     }
 }
 
--- a/lib/Proxy/HttpConnection.cpp
+++ b/lib/Proxy/HttpConnection.cpp
@@ -148,7 +148,7 @@
     if (observer_ == nullptr) {
         return;
     }
-    if (reader_->fault() != HttpFault::None) {
+    if (reader_->fault() != HttpParseError::None) {
         breakCall(CallBreak::Sent, "not an HTTP answer");
         return;
     }
--- a/lib/Proxy/HttpReader.cpp
+++ b/lib/Proxy/HttpReader.cpp
@@ -20,7 +20,7 @@
 template <bool IsRequest>
 std::size_t HttpReader<IsRequest>::feed(std::string_view bytes)
 {
-    if (done_ || fault_ != HttpFault::None || bytes.empty()) {
+    if (done_ || fault_ != HttpParseError::None || bytes.empty()) {
         return 0;
     }
     const std::size_t empty = begun_ ? 0 : emptyLines(bytes);
@@ -74,18 +74,18 @@
 template <bool IsRequest>
 void HttpReader<IsRequest>::feedEnd()
 {
-    if (done_ || fault_ != HttpFault::None) {
+    if (done_ || fault_ != HttpParseError::None) {
         return;
     }
     // Beast takes the end of a connection on which nothing came for a whole message.
     if (!hasHead_) {
-        fault_ = HttpFault::Truncated;
+        fault_ = HttpParseError::Truncated;
         return;
     }
     ErrorCode error;
     this->put_eof(error);
     if (error || !this->is_done()) {
-        fault_ = HttpFault::Truncated;
+        fault_ = HttpParseError::Truncated;
         return;
     }
     done_ = true;
@@ -95,11 +95,11 @@
 void HttpReader<IsRequest>::refuse(const ErrorCode &error)
 {
     if (error == http::error::header_limit) {
-        fault_ = HttpFault::HeaderTooLarge;
+        fault_ = HttpParseError::HeaderTooLarge;
     } else if (error == http::error::body_limit) {
-        fault_ = HttpFault::BodyTooLarge;
+        fault_ = HttpParseError::BodyTooLarge;
     } else {
-        fault_ = HttpFault::Malformed;
+        fault_ = HttpParseError::Malformed;
     }
 }
 
--- a/unittests/Proxy/HttpReaderTest.cpp
+++ b/unittests/Proxy/HttpReaderTest.cpp
@@ -12,7 +12,7 @@
 {
     const char *name;
     std::string bytes;
-    HttpFault fault;
+    HttpParseError fault;
     std::string body;     ///< where it is whole
     std::size_t leftover; ///< bytes that belong to the next message
 };
@@ -30,44 +30,45 @@
 }
 
 const RequestCase RequestCases[] = {
-        {"WithoutBody", "GET / HTTP/1.1\r\nHost: a\r\n\r\n", HttpFault::None, "", 0},
-        {"ByLength", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc", HttpFault::None,
-         "abc", 0},
+        {"WithoutBody", "GET / HTTP/1.1\r\nHost: a\r\n\r\n", HttpParseError::None, "", 0},
+        {"ByLength", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc",
+         HttpParseError::None, "abc", 0},
         {"ByChunks",
          "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: "
          "chunked\r\n\r\n3\r\nabc\r\n2;x=1\r\nde\r\n"
          "0\r\n\r\n",
-         HttpFault::None, "abcde", 0},
-        {"NextOneStays", "GET / HTTP/1.1\r\nHost: a\r\n\r\nGET /2", HttpFault::None, "", 6},
-        {"EmptyLineBefore", "\r\nGET / HTTP/1.1\r\nHost: a\r\n\r\n", HttpFault::None, "", 0},
+         HttpParseError::None, "abcde", 0},
+        {"NextOneStays", "GET / HTTP/1.1\r\nHost: a\r\n\r\nGET /2", HttpParseError::None, "", 6},
+        {"EmptyLineBefore", "\r\nGET / HTTP/1.1\r\nHost: a\r\n\r\n", HttpParseError::None, "", 0},
         {"ChunkLinesBeyondTheHeaderLimit",
          "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + inChunks(300) + "0\r\n\r\n",
-         HttpFault::None, std::string(300, 'x'), 0},
+         HttpParseError::None, std::string(300, 'x'), 0},
         // The framings by which a caller could smuggle a second request past the checks.
         {"LengthAndChunks",
          "POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-         HttpFault::Malformed, "", 0},
+         HttpParseError::Malformed, "", 0},
         {"ChunksAndLength",
          "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n0\r\n\r\n",
-         HttpFault::Malformed, "", 0},
+         HttpParseError::Malformed, "", 0},
         {"TwoLengths", "POST / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
-         HttpFault::Malformed, "", 0},
+         HttpParseError::Malformed, "", 0},
         {"LengthsInOneField", "POST / HTTP/1.1\r\nContent-Length: 3, 4\r\n\r\nabcd",
-         HttpFault::Malformed, "", 0},
-        {"SignedLength", "POST / HTTP/1.1\r\nContent-Length: +3\r\n\r\nabc", HttpFault::Malformed,
-         "", 0},
+         HttpParseError::Malformed, "", 0},
+        {"SignedLength", "POST / HTTP/1.1\r\nContent-Length: +3\r\n\r\nabc",
+         HttpParseError::Malformed, "", 0},
         {"OtherCoding", "POST / HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
-         HttpFault::Malformed, "", 0},
+         HttpParseError::Malformed, "", 0},
         {"ChunkedTwice",
          "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n"
          "0\r\n\r\n",
-         HttpFault::Malformed, "", 0},
-        {"SpaceBeforeColon", "GET / HTTP/1.1\r\nHost : a\r\n\r\n", HttpFault::Malformed, "", 0},
-        {"NotHttp", "\x16\x03\x01 hello\r\n\r\n", HttpFault::Malformed, "", 0},
+         HttpParseError::Malformed, "", 0},
+        {"SpaceBeforeColon", "GET / HTTP/1.1\r\nHost : a\r\n\r\n", HttpParseError::Malformed, "",
+         0},
+        {"NotHttp", "\x16\x03\x01 hello\r\n\r\n", HttpParseError::Malformed, "", 0},
         {"HeaderTooLarge", "GET / HTTP/1.1\r\nA: " + std::string(3000, 'x') + "\r\n\r\n",
-         HttpFault::HeaderTooLarge, "", 0},
-        {"BodyTooLarge", "POST / HTTP/1.1\r\nContent-Length: 5000\r\n\r\n", HttpFault::BodyTooLarge,
-         "", 0},
+         HttpParseError::HeaderTooLarge, "", 0},
+        {"BodyTooLarge", "POST / HTTP/1.1\r\nContent-Length: 5000\r\n\r\n",
+         HttpParseError::BodyTooLarge, "", 0},
 };
 
 HttpReaderLimits smallLimits()
@@ -81,7 +82,7 @@
     RequestReader whole(smallLimits());
     const std::size_t used = whole.feed(row.bytes);
     EXPECT_EQ(whole.fault(), row.fault);
-    if (row.fault == HttpFault::None) {
+    if (row.fault == HttpParseError::None) {
         ASSERT_TRUE(whole.done());
         EXPECT_EQ(row.bytes.size() - used, row.leftover);
         EXPECT_EQ(whole.takeBody(), row.body);
@@ -90,14 +91,14 @@
     std::string body;
     std::size_t fed = 0;
     for (const char c : row.bytes) {
-        if (slow.done() || slow.fault() != HttpFault::None) {
+        if (slow.done() || slow.fault() != HttpParseError::None) {
             break;
         }
         fed += slow.feed(std::string_view(&c, 1));
         body += slow.takeBody();
     }
     EXPECT_EQ(slow.fault(), row.fault);
-    if (row.fault == HttpFault::None) {
+    if (row.fault == HttpParseError::None) {
         EXPECT_TRUE(slow.done());
         EXPECT_EQ(fed, row.bytes.size() - row.leftover);
         EXPECT_EQ(body, row.body);
@@ -135,7 +136,7 @@
     reader.feed(GetParam().bytes);
     reader.feedEnd();
     EXPECT_EQ(reader.done(), GetParam().whole);
-    EXPECT_EQ(reader.fault() == HttpFault::Truncated, !GetParam().whole);
+    EXPECT_EQ(reader.fault() == HttpParseError::Truncated, !GetParam().whole);
 }
 
 INSTANTIATE_TEST_SUITE_P(Rows, HttpAnswerClosed, testing::ValuesIn(ClosedCases),
