--- a/include/sequoiagate/Config/ConfigFold.h
+++ b/include/sequoiagate/Config/ConfigFold.h
@@ -1,8 +1,9 @@
 #ifndef SEQUOIAGATE_CONFIG_CONFIGFOLD_H
 #define SEQUOIAGATE_CONFIG_CONFIGFOLD_H
 
-/// The deterministic fold of the configuration stream: versions by compare-and-
-/// swap, so that of two operators who race one wins and the other is told.
+/// Computes the configuration state by applying the records of the configuration
+/// stream in order. Versions advance by compare-and-swap: of two operators who race,
+/// one succeeds and the other gets an error.
 
 #include <cstddef>
 #include <cstdint>
@@ -25,28 +26,31 @@
     ConfigFold() = default;
     explicit ConfigFold(ConfigSafeguards safeguards) : safeguards_(safeguards) {}
 
-    /// Folds the record at \p offset. A refused change has no effect at all.
+    /// Applies the record at \p offset. A rejected change leaves the configuration as it is.
     /// \pre offset == state().offset().
     FoldResult apply(const wire::Record &record, uint64_t offset);
-    /// Takes a peer's or a checkpoint's state if it is newer. A version never goes
-    /// down. \returns whether it was taken.
+    /// Adopts the state of a peer or a checkpoint if it is newer. The version never
+    /// decreases. \returns whether the state was adopted.
     bool adoptIfNewer(const wire::ConfigState &state);
 
-    /// The state as a checkpoint: equal states give equal bytes.
+    /// The state as stored in a checkpoint: equal states serialize to equal bytes.
     const wire::ConfigState &state() const { return state_; }
     uint64_t version() const { return state_.version(); }
-    /// What became of (writer, sequence): nullopt while not folded. Known for the
-    /// latest OutcomesKept records, and for accepted ones as long as the history
-    /// holds them.
+    /// The outcome of the record (writer, sequence); nullopt if it hasn't been applied
+    /// or its outcome is no longer kept. Outcomes are kept for the last MaxOutcomes
+    /// records, and for accepted records as long as they are in the history.
     std::optional<FoldOutcome> outcomeOf(const Incarnation &writer, uint64_t sequence) const;
 
-    /// nullptr: unknown. Pointers hold until the next apply or takeNewer.
+    /// \returns nullptr if unknown. The pointer is valid until the next apply() or
+    /// adoptIfNewer().
     const wire::WorkspaceConfig *findWorkspace(const WorkspaceId &workspace) const;
-    /// The workspace whose API key has this hex SHA-256.
+    /// The workspace whose API key has this hex SHA-256, or nullptr.
     const wire::WorkspaceConfig *findWorkspaceByKeyHash(const std::string &keyHash) const;
 
-    static constexpr std::size_t OutcomesKept = 1024;
-    static constexpr int HistoryKept = 128; ///< versions; part of the fold
+    static constexpr std::size_t MaxOutcomes = 1024;
+    /// Number of versions in the history. The history is part of the state, so all
+    /// processes must use the same value.
+    static constexpr int MaxHistoryEntries = 128;
 
 private:
     struct RecordOutcome
@@ -58,17 +62,17 @@
 
     FoldResult applyChange(const wire::ConfigChange &change);
     void addHistory(const wire::Record &record);
-    void remember(const wire::Record &record, FoldOutcome outcome);
-    void indexKeys();
+    void recordOutcome(const wire::Record &record, FoldOutcome outcome);
+    void rebuildKeyIndex();
 
     ConfigSafeguards safeguards_;
     wire::ConfigState state_;
-    std::unordered_map<Incarnation, uint64_t> writers_;
+    std::unordered_map<Incarnation, uint64_t> lastSequences_;
     std::deque<RecordOutcome> outcomes_; ///< oldest first
-    std::unordered_map<std::string, WorkspaceId> keys_;
+    std::unordered_map<std::string, WorkspaceId> keyIndex_;
 };
 
-/// A workspace's prepaid total: budget and all top-ups; UINT64_MAX at most.
+/// The budget of \p workspace plus all its top-ups, saturating at UINT64_MAX.
 /// Thread safe.
 uint64_t prepaidTotal(const wire::WorkspaceConfig &workspace);
 
--- a/include/sequoiagate/Config/ServingConfig.h
+++ b/include/sequoiagate/Config/ServingConfig.h
@@ -1,8 +1,8 @@
 #ifndef SEQUOIAGATE_CONFIG_SERVINGCONFIG_H
 #define SEQUOIAGATE_CONFIG_SERVINGCONFIG_H
 
-/// What operators have put in force for the edge: routes, services, workspaces, limits.
-/// One version is one immutable value; a newer one replaces it whole.
+/// The configuration in force at the edge: routes, services, workspaces and limits.
+/// Each version is one immutable object, which a newer version replaces as a whole.
 
 #include <cstdint>
 #include <memory>
@@ -16,14 +16,14 @@
 
 namespace sequoiagate {
 
-/// What may be repeated, and how the answer comes.
+/// Whether requests may be retried, and how the response arrives.
 enum class RouteKind {
     Idempotent,
     NonIdempotent,
-    Stream, ///< an event stream; may be repeated only as Route::resumable says
+    Stream, ///< an event stream; Route::resumable tells whether it may be retried
 };
 
-/// A service that a route's requests go to, by its part of them.
+/// A target service of a route and its share of the route's requests.
 struct WeightedService
 {
     ServiceId service;
@@ -37,22 +37,22 @@
     std::string pathPrefix; ///< begins and ends with a slash
     RouteKind kind = RouteKind::NonIdempotent;
     std::vector<WeightedService> services;
-    Interval timeout = std::chrono::seconds(30);      ///< longest time to the answer's end
-    Interval latencyTarget = std::chrono::seconds(1); ///< to the first event, or the answer
-    Interval eventGapTarget{};                        ///< longest pause between two events
-    uint32_t priority = 5;                            ///< 0 is the most urgent
-    uint32_t maxAttempts = 1; ///< to which one attempt of a caller may be sent
+    Interval timeout = std::chrono::seconds(30);      ///< until the response is complete
+    Interval latencyTarget = std::chrono::seconds(1); ///< until the first event or the response
+    Interval eventGapTarget{};                        ///< longest gap between two events
+    uint32_t priority = 5;                            ///< 0 is the highest
+    uint32_t maxAttempts = 1; ///< endpoints tried for one attempt of a caller
     bool requiresApiKey = true;
-    bool resumable = false;      ///< a stream that another endpoint may take up
-    bool promptAffinity = false; ///< its requests say what their prompts consist of
+    bool resumable = false;      ///< another endpoint may continue an interrupted stream
+    bool promptAffinity = false; ///< requests describe the parts of their prompts
 };
 
-/// What the endpoints of a service have in common.
+/// The properties that all endpoints of a service share.
 struct ServiceSpec
 {
     ServiceId name;
     std::string healthPath;
-    uint32_t maxConnections = 0; ///< one endpoint accepts, from all callers together
+    uint32_t maxConnections = 0; ///< that one endpoint accepts from all callers together
     uint32_t tokensPerEvent = 1; ///< 0 for a plain service
     bool isModelEngine = false;
 };
@@ -61,13 +61,13 @@
 {
     WorkspaceId name;
     std::vector<std::string> keys;
-    uint32_t priority = 5; ///< goes before the route's; 0 is the most urgent
+    uint32_t priority = 5; ///< takes precedence over the route's; 0 is the highest
     bool overridesPriority = false;
     uint64_t prepaidTokens = 0;
-    bool isPrepaid = false; ///< false: its spend isn't bounded
+    bool isPrepaid = false; ///< false: spending is unlimited
 };
 
-/// What a caller may send, and how long it may take or stay idle.
+/// Limits on what a caller may send, how long that may take and how long it may stay idle.
 struct CallerLimits
 {
     uint32_t maxHeaderBytes = 16 * 1024;
@@ -76,7 +76,7 @@
     Interval idleTimeout = std::chrono::seconds(15);
 };
 
-/// Immutable after index(), so thread safe from then on.
+/// Immutable and thread safe once buildIndexes() has been called.
 class ServingConfig
 {
 public:
@@ -86,18 +86,18 @@
     std::vector<ServiceSpec> services;
     std::vector<WorkspaceSpec> workspaces;
 
-    /// Builds the look-up tables. Call once, after the fields are filled in.
+    /// Builds the lookup tables. Call it once, after all fields are set.
     void buildIndexes();
-    /// The route of \p host with the longest prefix that begins \p path, or nullptr.
-    /// \param host as the caller sent it, a port included
+    /// The route of \p host with the longest path prefix that matches \p path, or nullptr.
+    /// \param host as the caller sent it, possibly with a port
     const Route *findRoute(std::string_view host, std::string_view path) const;
-    /// Whose key that is, or nullptr.
+    /// The workspace that has this API key, or nullptr.
     const WorkspaceSpec *findWorkspaceByKey(const std::string &key) const;
     const WorkspaceSpec *findWorkspace(const WorkspaceId &name) const;
     const ServiceSpec *findService(const ServiceId &name) const;
 
 private:
-    std::unordered_map<std::string, std::size_t> routeByPlace_; ///< host and prefix joined
+    std::unordered_map<std::string, std::size_t> routeByKey_; ///< by routeKey()
     std::unordered_map<std::string, std::size_t> workspaceByKey_;
     std::unordered_map<std::string, std::size_t> workspaceByName_;
     std::unordered_map<std::string, std::size_t> serviceByName_;
@@ -105,7 +105,7 @@
 
 using ServingConfigPtr = std::shared_ptr<const ServingConfig>;
 
-/// What an endpoint says of itself.
+/// What an endpoint reports about itself.
 struct EndpointEntry
 {
     EndpointId id;
@@ -114,7 +114,7 @@
     std::string address; ///< IP:port
     uint32_t slots = 1;
     bool draining = false;
-    uint64_t startedAtMillis = 0; ///< Unix time of its start: another value, another process
+    uint64_t startedAtMillis = 0; ///< Unix time of its start; a new value means a new process
 };
 
 } // namespace sequoiagate
--- a/include/sequoiagate/Config/Sha256.h
+++ b/include/sequoiagate/Config/Sha256.h
@@ -6,9 +6,10 @@
 
 namespace sequoiagate {
 
-/// The hex SHA-256 of \p text: how API keys stand in the configuration. Operators
-/// store by it and routers look up by it, so that there is this one only. Thread safe.
-/// \throws std::runtime_error if the library can't compute it.
+/// The SHA-256 of \p text in hex, the form in which the configuration stores API keys.
+/// Operators' commands store keys by it and routers look them up by it, so both must use
+/// this function. Thread safe.
+/// \throws std::runtime_error if the library fails to compute it.
 std::string sha256Hex(std::string_view text);
 
 } // namespace sequoiagate
--- a/include/sequoiagate/Config/Sheet.h
+++ b/include/sequoiagate/Config/Sheet.h
@@ -1,10 +1,10 @@
 #ifndef SEQUOIAGATE_CONFIG_SHEET_H
 #define SEQUOIAGATE_CONFIG_SHEET_H
 
-/// The sheet that the operators' planners export each morning, as CSV: budgets,
-/// top-ups and settings of workspaces. It is read whole or refused with every
-/// fault it has, and becomes one configuration change. docs/Sheet.md is the page
-/// for those who write it.
+/// The CSV sheet that the operators' planners export each morning: budgets, top-ups
+/// and settings of workspaces. It is either accepted as a whole or rejected with a
+/// list of all its errors, and becomes one configuration change. docs/Sheet.md
+/// describes the format.
 
 #include <cstddef>
 #include <cstdint>
@@ -19,19 +19,19 @@
 
 namespace sequoiagate {
 
-/// What is wrong, and where a person finds it in the file.
+/// A validation error and its position in the file.
 struct SheetError
 {
-    std::size_t line = 0; ///< from 1, as an editor counts; 0: the file as a whole
-    std::string column;   ///< the header's name; empty: the line as a whole
+    std::size_t line = 0; ///< 1-based, as in an editor; 0: the file as a whole
+    std::string column;   ///< the column's name; empty: the line as a whole
     std::string reason;   ///< one sentence, lower case
 };
 
-/// In the order of their lines.
+/// Sorted by line.
 using SheetErrors = std::vector<SheetError>;
 
-/// "line 3, column budget_tokens: ...". Thread safe.
-std::string describe(const SheetError &fault);
+/// Formats \p error as "line 3, column budget_tokens: ...". Thread safe.
+std::string describe(const SheetError &error);
 
 struct SheetTopUp
 {
@@ -40,7 +40,7 @@
     std::size_t line = 0;
 };
 
-/// All rows of one workspace.
+/// The rows of one workspace, combined.
 struct SheetWorkspace
 {
     WorkspaceId workspace;
@@ -49,7 +49,7 @@
     std::vector<SheetTopUp> topUps;
     std::vector<ServiceId> services;
     double weight = 1;
-    uint64_t maxOutputTokens = 0; ///< 0: the system's own ceiling
+    uint64_t maxOutputTokens = 0; ///< 0: the system's own limit applies
     std::size_t line = 0;         ///< of its first row
 };
 
@@ -60,16 +60,17 @@
 
 using ParseSheetResult = std::variant<Sheet, SheetErrors>;
 
-/// Reads the bytes of a CSV file. Thread safe. \returns the sheet, or all faults
-/// (never an empty list), in which case nothing of it may be put into force.
+/// Parses the bytes of a CSV file. Thread safe. \returns the sheet, or all errors
+/// (never an empty list), in which case nothing of the file may be applied.
 ParseSheetResult parseSheet(std::string_view bytes);
 
 using SheetChangeResult = std::variant<wire::ConfigChange, SheetErrors>;
 
-/// What \p sheet changes of \p state, as one change built on its version. A sheet
-/// that is in force already gives a change without workspaces, which needn't be
+/// Compares \p sheet with \p state and makes one change, based on the state's version.
+/// A sheet that is already applied gives a change without workspaces, which needn't be
 /// appended. Workspaces that the sheet doesn't name stay as they are. Thread safe.
-/// \returns faults if a top-up id is known with another number of tokens.
+/// \returns errors if a top-up id was applied with another number of tokens, or if a
+/// workspace's total would overflow.
 SheetChangeResult makeConfigChange(const Sheet &sheet, const wire::ConfigState &state,
                                    const std::string &author, const std::string &note);
 
--- a/lib/Config/ConfigFold.cpp
+++ b/lib/Config/ConfigFold.cpp
@@ -5,59 +5,61 @@
 
 #include <fmt/format.h>
 
-#include "ConfigDraft.h"
 #include "SortedEntries.h"
+#include "StagedConfigChange.h"
 
 namespace sequoiagate {
 
 namespace {
 
-FoldResult refused(std::string why)
+FoldResult rejected(std::string reason)
 {
-    return {FoldOutcome::Refused, std::move(why), 0};
+    return {FoldOutcome::Refused, std::move(reason), 0};
 }
 
 } // namespace
 
 FoldResult ConfigFold::apply(const wire::Record &record, uint64_t offset)
 {
-    assert(offset == state_.offset() && "records are folded in the log's order, without gaps");
+    assert(offset == state_.offset() && "records are applied in log order, without gaps");
     state_.set_offset(offset + 1);
     if (record.writer().empty() || record.sequence() == 0) {
-        return refused("a record needs a writer and a sequence from 1 on");
+        return rejected("a record needs a writer and a sequence number of at least 1");
     }
-    uint64_t &mark = writers_[Incarnation(record.writer())];
-    if (record.sequence() <= mark) {
-        return {FoldOutcome::Duplicate, "folded before", 0};
+    uint64_t &lastSequence = lastSequences_[Incarnation(record.writer())];
+    if (record.sequence() <= lastSequence) {
+        return {FoldOutcome::Duplicate, "already applied", 0};
     }
-    mark = record.sequence();
+    lastSequence = record.sequence();
     if (record.has_checkpoint()) {
         return {FoldOutcome::Accepted, {}, 0};
     }
     if (!record.has_config_change()) {
-        return refused("not a configuration record");
+        return rejected("not a configuration record");
     }
     FoldResult result = applyChange(record.config_change());
     if (result.outcome == FoldOutcome::Accepted) {
         addHistory(record);
     }
-    remember(record, result.outcome);
+    recordOutcome(record, result.outcome);
     return result;
 }
 
 FoldResult ConfigFold::applyChange(const wire::ConfigChange &change)
 {
-    // Two operators who start from the same version would each undo what they haven't
-    // seen of the other's. The log's first wins; the other is told the version that won.
+    // Of two operators who start from the same version, the later would undo changes of
+    // the earlier that it hasn't seen. The first in the log wins; the other gets an error
+    // with the current version.
     if (safeguards_.compareAndSwap && change.base_version() != state_.version()) {
-        return refused(fmt::format("built on version {}, the current one is {}",
-                                   change.base_version(), state_.version()));
+        return rejected(
+                fmt::format("the change is based on version {}, but the current version is {}",
+                            change.base_version(), state_.version()));
     }
-    StagedConfigChange draft(state_, keys_, safeguards_);
-    if (std::optional<std::string> fault = draft.stage(change)) {
-        return refused(std::move(*fault));
+    StagedConfigChange staged(state_, keyIndex_, safeguards_);
+    if (std::optional<std::string> error = staged.stage(change)) {
+        return rejected(std::move(*error));
     }
-    draft.commit(state_, keys_);
+    staged.commit(state_, keyIndex_);
     state_.set_version(state_.version() + 1);
     return {FoldOutcome::Accepted, {}, 0};
 }
@@ -71,7 +73,7 @@
     entry->set_wall_us(record.wall_us());
     entry->set_writer(record.writer());
     entry->set_sequence(record.sequence());
-    if (state_.history_size() > HistoryKept) {
+    if (state_.history_size() > MaxHistoryEntries) {
         state_.mutable_history()->erase(state_.mutable_history()->begin());
     }
 }
@@ -85,16 +87,16 @@
     }
     state_ = state;
     for (const wire::ConfigHistoryEntry &entry : state_.history()) {
-        uint64_t &mark = writers_[Incarnation(entry.writer())];
-        mark = std::max(mark, entry.sequence());
+        uint64_t &lastSequence = lastSequences_[Incarnation(entry.writer())];
+        lastSequence = std::max(lastSequence, entry.sequence());
     }
-    indexKeys();
+    rebuildKeyIndex();
     return true;
 }
 
-void ConfigFold::remember(const wire::Record &record, FoldOutcome outcome)
+void ConfigFold::recordOutcome(const wire::Record &record, FoldOutcome outcome)
 {
-    if (outcomes_.size() == OutcomesKept) {
+    if (outcomes_.size() == MaxOutcomes) {
         outcomes_.pop_front();
     }
     outcomes_.push_back({Incarnation(record.writer()), record.sequence(), outcome});
@@ -107,20 +109,20 @@
             return FoldOutcome::Accepted;
         }
     }
-    for (const RecordOutcome &known : outcomes_) {
-        if (known.writer == writer && known.sequence == sequence) {
-            return known.outcome;
+    for (const RecordOutcome &entry : outcomes_) {
+        if (entry.writer == writer && entry.sequence == sequence) {
+            return entry.outcome;
         }
     }
     return std::nullopt;
 }
 
-void ConfigFold::indexKeys()
+void ConfigFold::rebuildKeyIndex()
 {
-    keys_.clear();
+    keyIndex_.clear();
     for (const wire::WorkspaceConfig &workspace : state_.workspaces()) {
         for (const std::string &hash : workspace.key_hashes()) {
-            keys_.emplace(hash, WorkspaceId(workspace.workspace()));
+            keyIndex_.emplace(hash, WorkspaceId(workspace.workspace()));
         }
     }
 }
@@ -132,8 +134,8 @@
 
 const wire::WorkspaceConfig *ConfigFold::findWorkspaceByKeyHash(const std::string &keyHash) const
 {
-    const auto found = keys_.find(keyHash);
-    return found == keys_.end() ? nullptr : findWorkspace(found->second);
+    const auto found = keyIndex_.find(keyHash);
+    return found == keyIndex_.end() ? nullptr : findWorkspace(found->second);
 }
 
 uint64_t prepaidTotal(const wire::WorkspaceConfig &workspace)
--- a/lib/Config/CsvReader.cpp
+++ b/lib/Config/CsvReader.cpp
@@ -1,4 +1,4 @@
-#include "SheetReader.h"
+#include "CsvReader.h"
 
 #include <memory>
 
@@ -10,8 +10,8 @@
 
 constexpr std::string_view ByteOrderMark = "\xEF\xBB\xBF";
 
-/// The length of the well-formed UTF-8 sequence at the front of \p text; 0: none.
-/// Overlong forms, surrogates and what lies beyond U+10FFFF are refused (RFC 3629).
+/// The length of the well-formed UTF-8 sequence at the start of \p text; 0: none.
+/// Overlong forms, surrogates and code points above U+10FFFF are rejected (RFC 3629).
 std::size_t utf8Length(std::string_view text)
 {
     const auto byteAt = [text](std::size_t index) {
@@ -70,70 +70,72 @@
     return false;
 }
 
-/// libcsv's parser, fed one byte at a time, since only so is it known on which line
-/// a row begins.
-class Splitter
+/// Feeds libcsv's parser one byte at a time, which is the only way to know the line on
+/// which a row begins.
+class RowSplitter
 {
 public:
-    Splitter() { start(); }
-    ~Splitter() { csv_free(&parser_); }
-    Splitter(const Splitter &) = delete;
-    Splitter &operator=(const Splitter &) = delete;
+    RowSplitter() { initParser(); }
+    ~RowSplitter() { csv_free(&parser_); }
+    RowSplitter(const RowSplitter &) = delete;
+    RowSplitter &operator=(const RowSplitter &) = delete;
 
     void feed(char byte)
     {
         const bool lineEnd = byte == '\n';
-        if (skipping_) {
-            skipping_ = !lineEnd;
+        if (skippingLine_) {
+            skippingLine_ = !lineEnd;
         } else {
-            take(byte);
+            consume(byte);
         }
         line_ += lineEnd ? 1 : 0;
     }
 
     CsvText finish()
     {
-        if (!skipping_ && csv_fini(&parser_, &Splitter::onField, &Splitter::onRow, this) != 0) {
-            fault(row_.line, "a quoted field isn't closed: the file is cut off");
+        if (!skippingLine_
+            && csv_fini(&parser_, &RowSplitter::onField, &RowSplitter::onRow, this) != 0) {
+            addError(row_.line, "unterminated quoted field: the file is truncated");
         }
         return std::move(text_);
     }
 
 private:
-    void start()
+    void initParser()
     {
         csv_init(&parser_, CSV_STRICT | CSV_STRICT_FINI);
         row_ = CsvRow{};
     }
 
-    void take(char byte)
+    void consume(char byte)
     {
         if (row_.line == 0 && byte != '\n' && byte != '\r') {
             row_.line = line_;
         }
-        if (csv_parse(&parser_, &byte, 1, &Splitter::onField, &Splitter::onRow, this) == 1) {
+        if (csv_parse(&parser_, &byte, 1, &RowSplitter::onField, &RowSplitter::onRow, this) == 1) {
             return;
         }
-        fault(row_.line, "a quote stands inside a field that isn't quoted, or behind its end");
+        addError(row_.line,
+                 "unexpected quote inside an unquoted field or after the end of a quoted one");
         csv_free(&parser_);
-        start();
-        skipping_ = byte != '\n';
+        initParser();
+        skippingLine_ = byte != '\n';
     }
 
-    void fault(std::size_t line, std::string reason)
+    void addError(std::size_t line, std::string reason)
     {
-        text_.faults.push_back({line, {}, std::move(reason)});
+        text_.errors.push_back({line, {}, std::move(reason)});
     }
 
     static void onField(void *bytes, std::size_t size, void *self)
     {
-        auto *splitter = static_cast<Splitter *>(self);
+        auto *splitter = static_cast<RowSplitter *>(self);
         splitter->row_.fields.emplace_back(static_cast<const char *>(bytes), size);
     }
 
     static void onRow(int /*end*/, void *self)
     {
-        auto *splitter = static_cast<Splitter *>(self);
+        auto *splitter = static_cast<RowSplitter *>(self);
         splitter->checkText();
         splitter->text_.rows.push_back(std::move(splitter->row_));
         splitter->row_ = CsvRow{};
@@ -143,11 +145,11 @@
     {
         for (const std::string &field : row_.fields) {
             if (!validUtf8(field)) {
-                fault(row_.line, "the text isn't valid UTF-8");
+                addError(row_.line, "the text isn't valid UTF-8");
                 return;
             }
             if (hasControlCharacter(field)) {
-                fault(row_.line, "a field holds a line end or another control character");
+                addError(row_.line, "a field contains a line break or another control character");
                 return;
             }
         }
@@ -157,7 +159,7 @@
     CsvText text_;
     CsvRow row_;
     std::size_t line_ = 1;
-    bool skipping_ = false;
+    bool skippingLine_ = false;
 };
 
 std::size_t lineOf(std::string_view bytes, std::size_t position)
@@ -176,15 +178,15 @@
     if (bytes.substr(0, ByteOrderMark.size()) == ByteOrderMark) {
         bytes.remove_prefix(ByteOrderMark.size());
     }
-    // A NUL ends a string in many a program: what follows it would be seen by some and
-    // not by others. Spreadsheets write them when they export UTF-16.
+    // A NUL ends a string in many programs, so some would see what follows it and others
+    // wouldn't. Spreadsheets write NUL bytes when they export UTF-16.
     if (const std::size_t nul = bytes.find('\0'); nul != std::string_view::npos) {
-        CsvText refused;
-        refused.faults.push_back(
+        CsvText rejected;
+        rejected.errors.push_back(
                 {lineOf(bytes, nul), {}, "a NUL byte: the file must be UTF-8 text"});
-        return refused;
+        return rejected;
     }
-    Splitter splitter;
+    RowSplitter splitter;
     for (const char byte : bytes) {
         splitter.feed(byte);
     }
--- a/lib/Config/CsvReader.h
+++ b/lib/Config/CsvReader.h
@@ -1,8 +1,8 @@
 #ifndef LIB_CONFIG_CSVREADER_H
 #define LIB_CONFIG_CSVREADER_H
 
-/// The lower half of the sheet's reader: bytes to rows of text, with the line on
-/// which each row begins.
+/// The CSV layer of the sheet parser: splits bytes into rows of fields and records the
+/// line on which each row begins.
 
 #include <cstddef>
 #include <string>
@@ -21,12 +21,13 @@
 
 struct CsvText
 {
-    std::vector<CsvRow> rows; ///< blank lines left out
-    SheetErrors faults;       ///< lines that aren't CSV, aren't text, or are cut off
+    std::vector<CsvRow> rows; ///< without blank lines
+    SheetErrors errors;       ///< lines that are invalid CSV, invalid text or truncated
 };
 
-/// Splits \p bytes by RFC 4180, with a byte order mark and either line end. Reading
-/// goes on after a broken line, so that all faults are found at once. Thread safe.
+/// Parses \p bytes as CSV (RFC 4180). Accepts a byte order mark and both LF and CRLF.
+/// Parsing continues after an invalid line, so that all errors are reported at once.
+/// Thread safe.
 CsvText readCsv(std::string_view bytes);
 
 } // namespace sequoiagate
--- a/lib/Config/ServingConfig.cpp
+++ b/lib/Config/ServingConfig.cpp
@@ -8,20 +8,23 @@
 
 namespace {
 
-/// A space stands in no host name and no path.
-std::string placeOf(std::string_view host, std::string_view prefix)
+/// The key of a route in the lookup table. The separator is a space, since neither host
+/// names nor paths contain one.
+std::string routeKey(std::string_view host, std::string_view prefix)
 {
-    std::string place;
-    place.reserve(host.size() + prefix.size() + 1);
-    return place.append(host).append(" ").append(prefix);
+    std::string key;
+    key.reserve(host.size() + prefix.size() + 1);
+    return key.append(host).append(" ").append(prefix);
 }
 
-/// Without a port, and without the dot that ends a full name.
-std::string plainHost(std::string_view host)
+/// \p host in lower case, without a port and without the trailing dot of a fully qualified
+/// name.
+std::string normalizedHost(std::string_view host)
 {
     const std::size_t colon = host.rfind(':');
-    const bool inBrackets = host.find(']', std::min(colon, host.size())) != std::string_view::npos;
-    host = inBrackets ? host : host.substr(0, colon);
+    const bool colonInBrackets =
+            host.find(']', std::min(colon, host.size())) != std::string_view::npos;
+    host = colonInBrackets ? host : host.substr(0, colon);
     if (!host.empty() && host.back() == '.') {
         host.remove_suffix(1);
     }
@@ -33,7 +36,7 @@
 void ServingConfig::buildIndexes()
 {
     for (std::size_t i = 0; i < routes.size(); ++i) {
-        routeByPlace_[placeOf(routes[i].host, routes[i].pathPrefix)] = i;
+        routeByKey_[routeKey(routes[i].host, routes[i].pathPrefix)] = i;
     }
     for (std::size_t i = 0; i < workspaces.size(); ++i) {
         workspaceByName_[workspaces[i].name.text()] = i;
@@ -48,12 +51,12 @@
 
 const Route *ServingConfig::findRoute(std::string_view host, std::string_view path) const
 {
-    const std::string name = plainHost(host);
-    const std::string_view plain = path.substr(0, path.find('?'));
-    for (std::size_t end = plain.rfind('/'); end != std::string_view::npos;
-         end = plain.rfind('/', end - 1)) {
-        const auto found = routeByPlace_.find(placeOf(name, plain.substr(0, end + 1)));
-        if (found != routeByPlace_.end()) {
+    const std::string hostName = normalizedHost(host);
+    const std::string_view pathOnly = path.substr(0, path.find('?'));
+    for (std::size_t end = pathOnly.rfind('/'); end != std::string_view::npos;
+         end = pathOnly.rfind('/', end - 1)) {
+        const auto found = routeByKey_.find(routeKey(hostName, pathOnly.substr(0, end + 1)));
+        if (found != routeByKey_.end()) {
             return &routes[found->second];
         }
         if (end == 0) {
--- a/lib/Config/Sheet.cpp
+++ b/lib/Config/Sheet.cpp
@@ -10,15 +10,15 @@
 
 #include <fmt/format.h>
 
-#include "SheetReader.h"
+#include "CsvReader.h"
 
 namespace sequoiagate {
 
 namespace {
 
-constexpr std::size_t LongestId = 64;
-constexpr std::size_t LongestName = 200;
-constexpr double LargestWeight = 1000;
+constexpr std::size_t MaxIdLength = 64;
+constexpr std::size_t MaxNameLength = 200;
+constexpr double MaxWeight = 1000;
 
 bool isIdCharacter(char character)
 {
@@ -30,7 +30,7 @@
 
 bool isId(std::string_view text)
 {
-    return !text.empty() && text.size() <= LongestId
+    return !text.empty() && text.size() <= MaxIdLength
            && std::all_of(text.begin(), text.end(), isIdCharacter);
 }
 
@@ -41,11 +41,11 @@
     });
 }
 
-/// Why \p text isn't a count of tokens; empty if it is one.
-std::string tokenFault(std::string_view text)
+/// Why \p text isn't a valid number of tokens. \pre parseTokens(text) failed.
+std::string describeTokenError(std::string_view text)
 {
     if (text.empty()) {
-        return "a whole number of tokens is missing";
+        return "a whole number of tokens is required";
     }
     if (text.front() == '-' && allDigits(text.substr(1))) {
         return fmt::format("'{}' is negative", text);
@@ -55,9 +55,9 @@
         return fmt::format("'{}' is not a whole number", text);
     }
     if (!allDigits(text)) {
-        return fmt::format("'{}' is not a whole number in digits alone", text);
+        return fmt::format("'{}' is not a whole number written in digits only", text);
     }
-    return fmt::format("'{}' is more than {}", text, UINT64_MAX);
+    return fmt::format("'{}' is greater than {}", text, UINT64_MAX);
 }
 
 std::optional<uint64_t> parseTokens(std::string_view text)
@@ -70,66 +70,66 @@
     return tokens;
 }
 
-/// One row on its way into a workspace.
-struct RowDraft
+/// One parsed row, before it is added to its workspace.
+struct ParsedRow
 {
     SheetWorkspace workspace;
     SheetTopUp topUp;
 };
 
-/// A fault of the field it is read from; nothing: it was taken.
-using FieldFault = std::optional<std::string>;
+/// Why a field is invalid; nullopt if it is valid.
+using FieldError = std::optional<std::string>;
 
-FieldFault readWorkspace(std::string_view text, RowDraft &row)
+FieldError readWorkspace(std::string_view text, ParsedRow &row)
 {
     if (!isId(text)) {
         return fmt::format("'{}' is no id: 1 to {} of a-z, A-Z, 0-9, '-', '_' and '.'", text,
-                           LongestId);
+                           MaxIdLength);
     }
     row.workspace.workspace = WorkspaceId(std::string(text));
     return std::nullopt;
 }
 
-FieldFault readName(std::string_view text, RowDraft &row)
+FieldError readName(std::string_view text, ParsedRow &row)
 {
-    if (text.empty() || text.size() > LongestName) {
-        return fmt::format("a name has 1 to {} bytes", LongestName);
+    if (text.empty() || text.size() > MaxNameLength) {
+        return fmt::format("a name must have 1 to {} bytes", MaxNameLength);
     }
     row.workspace.name = std::string(text);
     return std::nullopt;
 }
 
-FieldFault readBudget(std::string_view text, RowDraft &row)
+FieldError readBudget(std::string_view text, ParsedRow &row)
 {
     const std::optional<uint64_t> tokens = parseTokens(text);
     if (!tokens) {
-        return tokenFault(text);
+        return describeTokenError(text);
     }
     row.workspace.budgetTokens = *tokens;
     return std::nullopt;
 }
 
-FieldFault readTopUpId(std::string_view text, RowDraft &row)
+FieldError readTopUpId(std::string_view text, ParsedRow &row)
 {
     if (!text.empty() && !isId(text)) {
         return fmt::format("'{}' is no id: 1 to {} of a-z, A-Z, 0-9, '-', '_' and '.'", text,
-                           LongestId);
+                           MaxIdLength);
     }
     row.topUp.id = std::string(text);
     return std::nullopt;
 }
 
-FieldFault readTopUpTokens(std::string_view text, RowDraft &row)
+FieldError readTopUpTokens(std::string_view text, ParsedRow &row)
 {
     if (text.empty()) {
         return std::nullopt;
     }
     const std::optional<uint64_t> tokens = parseTokens(text);
     if (!tokens) {
-        return tokenFault(text);
+        return describeTokenError(text);
     }
     if (*tokens == 0) {
-        return "a top-up adds at least one token";
+        return "a top-up must add at least one token";
     }
     row.topUp.tokens = *tokens;
     return std::nullopt;
@@ -144,7 +144,7 @@
     return text.substr(first, text.find_last_not_of(' ') - first + 1);
 }
 
-FieldFault readServices(std::string_view text, RowDraft &row)
+FieldError readServices(std::string_view text, ParsedRow &row)
 {
     std::size_t from = 0;
     while (from <= text.size()) {
@@ -152,43 +152,44 @@
         const std::string_view name = trimmed(text.substr(from, end - from));
         from = end + 1;
         if (name.empty()) {
-            return "name at least one service, with ';' between them; to shut a workspace off, "
-                   "set its budget_tokens to 0";
+            return "list at least one service, separated by ';'; to disable a workspace, set its "
+                   "budget_tokens to 0";
         }
         const ServiceId service{std::string(name)};
-        std::vector<ServiceId> &known = row.workspace.services;
-        if (std::find(known.begin(), known.end(), service) != known.end()) {
-            return fmt::format("service '{}' stands twice", name);
+        std::vector<ServiceId> &services = row.workspace.services;
+        if (std::find(services.begin(), services.end(), service) != services.end()) {
+            return fmt::format("service '{}' is listed twice", name);
         }
-        known.push_back(service);
+        services.push_back(service);
     }
     return std::nullopt;
 }
 
-FieldFault readWeight(std::string_view text, RowDraft &row)
+FieldError readWeight(std::string_view text, ParsedRow &row)
 {
     if (text.empty()) {
         return std::nullopt;
     }
     double weight = 0;
     const auto result = std::from_chars(text.data(), text.data() + text.size(), weight);
-    const bool whole = result.ec == std::errc() && result.ptr == text.data() + text.size();
-    // Written so that "nan" fails it, too.
-    if (!whole || !(weight > 0 && weight <= LargestWeight)) {
-        return fmt::format("'{}' is no weight: a number above 0, at most {}", text, LargestWeight);
+    const bool complete = result.ec == std::errc() && result.ptr == text.data() + text.size();
+    // Written so that NaN fails the check, too.
+    if (!complete || !(weight > 0 && weight <= MaxWeight)) {
+        return fmt::format("'{}' is not a valid weight: a number greater than 0, at most {}", text,
+                           MaxWeight);
     }
     row.workspace.weight = weight;
     return std::nullopt;
 }
 
-FieldFault readMaxOutput(std::string_view text, RowDraft &row)
+FieldError readMaxOutput(std::string_view text, ParsedRow &row)
 {
     if (text.empty()) {
         return std::nullopt;
     }
     const std::optional<uint64_t> tokens = parseTokens(text);
     if (!tokens) {
-        return tokenFault(text);
+        return describeTokenError(text);
     }
     row.workspace.maxOutputTokens = *tokens;
     return std::nullopt;
@@ -197,7 +198,7 @@
 struct Column
 {
     const char *name;
-    FieldFault (*read)(std::string_view text, RowDraft &row);
+    FieldError (*read)(std::string_view text, ParsedRow &row);
 };
 
 constexpr std::array<Column, 8> Columns = {{
@@ -211,45 +212,45 @@
         {"max_output_tokens", readMaxOutput},
 }};
 
-/// Turns rows of text into workspaces and gathers the faults.
+/// Converts CSV rows into workspaces and collects all errors.
 class SheetParser
 {
 public:
     ParseSheetResult parse(CsvText text)
     {
-        faults_ = std::move(text.faults);
+        errors_ = std::move(text.errors);
         if (text.rows.empty()) {
-            if (faults_.empty()) {
-                faults_.push_back({0, {}, "the file is empty"});
+            if (errors_.empty()) {
+                errors_.push_back({0, {}, "the file is empty"});
             }
-            return std::move(faults_);
+            return std::move(errors_);
         }
         readHeader(text.rows.front());
-        // Without all columns known, each field would be read as another's.
-        if (headerGood_) {
+        // With an invalid header, fields would be assigned to the wrong columns.
+        if (headerValid_) {
             for (std::size_t index = 1; index < text.rows.size(); ++index) {
                 readRow(text.rows[index]);
             }
-            if (text.rows.size() == 1 && faults_.empty()) {
-                faults_.push_back({0, {}, "the file has a header and no rows"});
+            if (text.rows.size() == 1 && errors_.empty()) {
+                errors_.push_back({0, {}, "the file has a header but no rows"});
             }
         }
         checkTotals();
-        if (faults_.empty()) {
+        if (errors_.empty()) {
             return std::move(sheet_);
         }
-        std::stable_sort(faults_.begin(), faults_.end(),
+        std::stable_sort(errors_.begin(), errors_.end(),
                          [](const SheetError &left, const SheetError &right) {
                              return left.line < right.line;
                          });
-        return std::move(faults_);
+        return std::move(errors_);
     }
 
 private:
-    void fault(std::size_t line, std::string column, std::string reason)
+    void addError(std::size_t line, std::string column, std::string reason)
     {
-        headerGood_ = headerGood_ && !inHeader_;
-        faults_.push_back({line, std::move(column), std::move(reason)});
+        headerValid_ = headerValid_ && !inHeader_;
+        errors_.push_back({line, std::move(column), std::move(reason)});
     }
 
     void readHeader(const CsvRow &row)
@@ -257,20 +258,20 @@
         inHeader_ = true;
         std::unordered_set<std::string> seen;
         for (const std::string &name : row.fields) {
-            const auto known =
+            const auto found =
                     std::find_if(Columns.begin(), Columns.end(),
                                  [&name](const Column &column) { return name == column.name; });
-            if (known == Columns.end()) {
-                fault(row.line, name, "an unknown column");
+            if (found == Columns.end()) {
+                addError(row.line, name, "unknown column");
             } else if (!seen.insert(name).second) {
-                fault(row.line, name, "the column stands twice");
+                addError(row.line, name, "duplicate column");
             } else {
-                order_.push_back(&*known);
+                columnOrder_.push_back(&*found);
             }
         }
         for (const Column &column : Columns) {
             if (!seen.contains(column.name)) {
-                fault(row.line, column.name, "the column is missing");
+                addError(row.line, column.name, "the column is missing");
             }
         }
         inHeader_ = false;
@@ -278,84 +279,87 @@
 
     void readRow(const CsvRow &row)
     {
-        if (row.fields.size() != order_.size()) {
-            const char *what = row.fields.size() < order_.size() ? ": the line is cut off" : "";
-            fault(row.line, {},
-                  fmt::format("{} fields, where the header has {}{}", row.fields.size(),
-                              order_.size(), what));
+        if (row.fields.size() != columnOrder_.size()) {
+            const char *what =
+                    row.fields.size() < columnOrder_.size() ? ": the line is truncated" : "";
+            addError(row.line, {},
+                     fmt::format("{} fields, but the header has {}{}", row.fields.size(),
+                                 columnOrder_.size(), what));
             return;
         }
-        RowDraft draft;
-        draft.workspace.line = row.line;
-        draft.topUp.line = row.line;
-        const std::size_t before = faults_.size();
-        for (std::size_t index = 0; index < order_.size(); ++index) {
-            if (FieldFault reason = order_[index]->read(row.fields[index], draft)) {
-                fault(row.line, order_[index]->name, std::move(*reason));
+        ParsedRow parsed;
+        parsed.workspace.line = row.line;
+        parsed.topUp.line = row.line;
+        const std::size_t before = errors_.size();
+        for (std::size_t index = 0; index < columnOrder_.size(); ++index) {
+            if (FieldError reason = columnOrder_[index]->read(row.fields[index], parsed)) {
+                addError(row.line, columnOrder_[index]->name, std::move(*reason));
             }
         }
-        if (faults_.size() == before) {
-            checkTopUp(draft);
+        if (errors_.size() == before) {
+            checkTopUp(parsed);
         }
-        if (faults_.size() == before) {
-            addRow(std::move(draft));
+        if (errors_.size() == before) {
+            addRow(std::move(parsed));
         }
     }
 
-    void checkTopUp(const RowDraft &draft)
+    void checkTopUp(const ParsedRow &parsed)
     {
-        if (draft.topUp.id.empty() && draft.topUp.tokens > 0) {
-            fault(draft.topUp.line, "top_up_id",
-                  "a top-up needs an id: without one it would be added at each apply");
+        if (parsed.topUp.id.empty() && parsed.topUp.tokens > 0) {
+            addError(parsed.topUp.line, "top_up_id",
+                     "a top-up needs an id: without one it would be added each time the sheet is "
+                     "applied");
         }
-        if (!draft.topUp.id.empty() && draft.topUp.tokens == 0) {
-            fault(draft.topUp.line, "top_up_tokens", "the top-up's tokens are missing");
+        if (!parsed.topUp.id.empty() && parsed.topUp.tokens == 0) {
+            addError(parsed.topUp.line, "top_up_tokens",
+                     "the top-up's number of tokens is missing");
         }
     }
 
-    void addRow(RowDraft draft)
+    void addRow(ParsedRow parsed)
     {
-        const auto [place, isNew] =
-                places_.emplace(draft.workspace.workspace.text(), sheet_.workspaces.size());
+        const auto [position, isNew] = workspacePositions_.emplace(
+                parsed.workspace.workspace.text(), sheet_.workspaces.size());
         if (isNew) {
-            sheet_.workspaces.push_back(std::move(draft.workspace));
+            sheet_.workspaces.push_back(std::move(parsed.workspace));
         } else {
-            checkSameWorkspace(sheet_.workspaces[place->second], draft);
+            checkSameWorkspace(sheet_.workspaces[position->second], parsed);
         }
-        SheetWorkspace &workspace = sheet_.workspaces[place->second];
-        if (draft.topUp.id.empty()) {
+        SheetWorkspace &workspace = sheet_.workspaces[position->second];
+        if (parsed.topUp.id.empty()) {
             return;
         }
-        for (const SheetTopUp &known : workspace.topUps) {
-            if (known.id == draft.topUp.id) {
-                fault(draft.topUp.line, "top_up_id",
-                      fmt::format("a doubled row: top-up '{}' stands on line {}", known.id,
-                                  known.line));
+        for (const SheetTopUp &existing : workspace.topUps) {
+            if (existing.id == parsed.topUp.id) {
+                addError(parsed.topUp.line, "top_up_id",
+                         fmt::format("duplicate row: top-up '{}' is already on line {}",
+                                     existing.id, existing.line));
                 return;
             }
         }
-        workspace.topUps.push_back(std::move(draft.topUp));
+        workspace.topUps.push_back(std::move(parsed.topUp));
     }
 
-    void checkSameWorkspace(const SheetWorkspace &first, const RowDraft &draft)
+    void checkSameWorkspace(const SheetWorkspace &first, const ParsedRow &parsed)
     {
-        const SheetWorkspace &again = draft.workspace;
-        if (draft.topUp.id.empty()) {
-            fault(again.line, "workspace",
-                  fmt::format("a doubled row: workspace '{}' stands on line {}",
-                              first.workspace.text(), first.line));
+        const SheetWorkspace &other = parsed.workspace;
+        if (parsed.topUp.id.empty()) {
+            addError(other.line, "workspace",
+                     fmt::format("duplicate row: workspace '{}' is already on line {}",
+                                 first.workspace.text(), first.line));
         }
         const auto differs = [&](bool different, const char *column) {
             if (different) {
-                fault(again.line, column,
-                      fmt::format("differs from line {} of the same workspace", first.line));
+                addError(other.line, column,
+                         fmt::format("differs from line {} of the same workspace", first.line));
             }
         };
-        differs(again.name != first.name, "name");
-        differs(again.budgetTokens != first.budgetTokens, "budget_tokens");
-        differs(again.services != first.services, "services");
-        differs(again.weight != first.weight, "weight");
-        differs(again.maxOutputTokens != first.maxOutputTokens, "max_output_tokens");
+        differs(other.name != first.name, "name");
+        differs(other.budgetTokens != first.budgetTokens, "budget_tokens");
+        differs(other.services != first.services, "services");
+        differs(other.weight != first.weight, "weight");
+        differs(other.maxOutputTokens != first.maxOutputTokens, "max_output_tokens");
     }
 
     void checkTotals()
@@ -364,8 +368,9 @@
             uint64_t total = workspace.budgetTokens;
             for (const SheetTopUp &topUp : workspace.topUps) {
                 if (topUp.tokens > UINT64_MAX - total) {
-                    fault(topUp.line, "top_up_tokens",
-                          fmt::format("budget and top-ups together are more than {}", UINT64_MAX));
+                    addError(topUp.line, "top_up_tokens",
+                             fmt::format("the sum of the budget and all top-ups is greater than {}",
+                                         UINT64_MAX));
                     break;
                 }
                 total += topUp.tokens;
@@ -374,24 +379,24 @@
     }
 
     Sheet sheet_;
-    SheetErrors faults_;
-    std::vector<const Column *> order_;
-    std::unordered_map<std::string, std::size_t> places_;
-    bool headerGood_ = true;
+    SheetErrors errors_;
+    std::vector<const Column *> columnOrder_;
+    std::unordered_map<std::string, std::size_t> workspacePositions_;
+    bool headerValid_ = true;
     bool inHeader_ = false;
 };
 
 } // namespace
 
-std::string describe(const SheetError &fault)
+std::string describe(const SheetError &error)
 {
-    if (fault.line == 0) {
-        return fault.reason;
+    if (error.line == 0) {
+        return error.reason;
     }
-    if (fault.column.empty()) {
-        return fmt::format("line {}: {}", fault.line, fault.reason);
+    if (error.column.empty()) {
+        return fmt::format("line {}: {}", error.line, error.reason);
     }
-    return fmt::format("line {}, column {}: {}", fault.line, fault.column, fault.reason);
+    return fmt::format("line {}, column {}: {}", error.line, error.column, error.reason);
 }
 
 ParseSheetResult parseSheet(std::string_view bytes)
--- a/lib/Config/SheetChange.cpp
+++ b/lib/Config/SheetChange.cpp
@@ -40,11 +40,11 @@
     return nullptr;
 }
 
-/// The configuration's entries by id, removed ones among them.
-class KnownWorkspaces
+/// Indexes the workspaces of a configuration by id, including removed ones.
+class WorkspaceIndex
 {
 public:
-    explicit KnownWorkspaces(const wire::ConfigState &state)
+    explicit WorkspaceIndex(const wire::ConfigState &state)
     {
         for (const auto *entries : {&state.workspaces(), &state.removed_workspaces()}) {
             for (const wire::WorkspaceConfig &workspace : *entries) {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// An entry without anything if the workspace is new.
+    /// \returns an empty entry if the workspace is new.
     const wire::WorkspaceConfig &find(const WorkspaceId &workspace) const
     {
         const auto found = byId_.find(workspace.text());
@@ -64,55 +64,56 @@
     std::unordered_map<std::string_view, const wire::WorkspaceConfig *> byId_;
 };
 
-/// What one workspace's rows change of \p known.
-class WorkspaceDifference
+/// Compares the rows of one workspace with its current configuration.
+class WorkspaceDiff
 {
 public:
-    WorkspaceDifference(const SheetWorkspace &sheet, const wire::WorkspaceConfig &known)
-        : sheet_(sheet), known_(known)
+    WorkspaceDiff(const SheetWorkspace &sheet, const wire::WorkspaceConfig &current)
+        : sheet_(sheet), current_(current)
     {
         change_.set_workspace(sheet.workspace.text());
     }
 
-    /// Nothing: no difference.
-    std::optional<wire::WorkspaceChange> find(SheetErrors &faults)
+    /// \returns nullopt if there is no difference.
+    std::optional<wire::WorkspaceChange> compute(SheetErrors &errors)
     {
         bool changed = false;
-        if (known_.name() != sheet_.name) {
+        if (current_.name() != sheet_.name) {
             change_.set_name(sheet_.name);
             changed = true;
         }
-        if (known_.workspace().empty() || known_.budget_tokens() != sheet_.budgetTokens) {
+        if (current_.workspace().empty() || current_.budget_tokens() != sheet_.budgetTokens) {
             change_.set_budget_tokens(sheet_.budgetTokens);
             changed = true;
         }
         const wire::WorkspaceSettings settings = settingsOf(sheet_);
-        if (!sameSettings(known_.settings(), settings)) {
+        if (!sameSettings(current_.settings(), settings)) {
             *change_.mutable_settings() = settings;
             changed = true;
         }
-        addTopUps(faults);
+        addTopUps(errors);
         changed = changed || change_.top_ups_size() > 0;
         return changed ? std::optional(change_) : std::nullopt;
     }
 
 private:
-    void addTopUps(SheetErrors &faults)
+    void addTopUps(SheetErrors &errors)
     {
-        uint64_t total = prepaidTotal(known_) - known_.budget_tokens() + sheet_.budgetTokens;
+        uint64_t total = prepaidTotal(current_) - current_.budget_tokens() + sheet_.budgetTokens;
         for (const SheetTopUp &topUp : sheet_.topUps) {
-            const wire::TopUp *applied = findTopUp(known_, topUp.id);
+            const wire::TopUp *applied = findTopUp(current_, topUp.id);
             if (applied && applied->tokens() != topUp.tokens) {
-                faults.push_back({topUp.line, "top_up_tokens",
-                                  fmt::format("top-up '{}' was applied with {} tokens", topUp.id,
-                                              applied->tokens())});
+                errors.push_back({topUp.line, "top_up_tokens",
+                                  fmt::format("top-up '{}' was already applied with {} tokens",
+                                              topUp.id, applied->tokens())});
             }
             if (applied) {
                 continue;
             }
             if (topUp.tokens > UINT64_MAX - total) {
-                faults.push_back({topUp.line, "top_up_tokens",
-                                  "with the top-ups in force, the total overflows"});
+                errors.push_back(
+                        {topUp.line, "top_up_tokens",
+                         "together with the top-ups already applied, the total overflows"});
                 return;
             }
             total += topUp.tokens;
@@ -123,7 +124,7 @@
     }
 
     const SheetWorkspace &sheet_;
-    const wire::WorkspaceConfig &known_;
+    const wire::WorkspaceConfig &current_;
     wire::WorkspaceChange change_;
 };
 
@@ -136,17 +137,17 @@
     change.set_base_version(state.version());
     change.set_author(author);
     change.set_note(note);
-    SheetErrors faults;
-    const KnownWorkspaces known(state);
+    SheetErrors errors;
+    const WorkspaceIndex index(state);
     for (const SheetWorkspace &workspace : sheet.workspaces) {
         std::optional<wire::WorkspaceChange> difference =
-                WorkspaceDifference(workspace, known.find(workspace.workspace)).find(faults);
+                WorkspaceDiff(workspace, index.find(workspace.workspace)).compute(errors);
         if (difference) {
             *change.add_workspaces() = std::move(*difference);
         }
     }
-    if (!faults.empty()) {
-        return faults;
+    if (!errors.empty()) {
+        return errors;
     }
     return change;
 }
--- a/lib/Config/SortedEntries.h
+++ b/lib/Config/SortedEntries.h
@@ -1,8 +1,8 @@
 #ifndef LIB_CONFIG_SORTEDENTRIES_H
 #define LIB_CONFIG_SORTEDENTRIES_H
 
-/// Repeated fields kept in the order of their names: a search is quick, and two folds
-/// of the same records hold equal bytes.
+/// Repeated fields that are kept sorted by name: lookup is a binary search, and applying
+/// the same records always gives equal bytes.
 
 #include <algorithm>
 #include <string>
@@ -21,27 +21,27 @@
     return entry.endpoint();
 }
 
-/// nullptr: none of that name. \pre entries are sorted.
+/// \returns nullptr if no entry has that name. \pre entries are sorted.
 template <typename Entries>
 auto findEntry(Entries &entries, const std::string &name) -> decltype(&*entries.begin())
 {
-    const auto place = std::lower_bound(
+    const auto position = std::lower_bound(
             entries.begin(), entries.end(), name,
             [](const auto &entry, const std::string &key) { return nameOf(entry) < key; });
-    return place != entries.end() && nameOf(*place) == name ? &*place : nullptr;
+    return position != entries.end() && nameOf(*position) == name ? &*position : nullptr;
 }
 
 template <typename Entry>
 void eraseEntry(google::protobuf::RepeatedPtrField<Entry> &entries, const std::string &name)
 {
-    if (Entry *known = findEntry(entries, name)) {
-        const auto place = std::find_if(entries.pointer_begin(), entries.pointer_end(),
-                                        [known](const Entry *entry) { return entry == known; });
-        entries.erase(entries.begin() + (place - entries.pointer_begin()));
+    if (Entry *found = findEntry(entries, name)) {
+        const auto position = std::find_if(entries.pointer_begin(), entries.pointer_end(),
+                                           [found](const Entry *entry) { return entry == found; });
+        entries.erase(entries.begin() + (position - entries.pointer_begin()));
     }
 }
 
-/// Restores the order after entries were added at the end.
+/// Restores the order after entries were appended.
 template <typename Entry>
 void sortEntries(google::protobuf::RepeatedPtrField<Entry> &entries)
 {
--- a/lib/Config/StagedConfigChange.cpp
+++ b/lib/Config/StagedConfigChange.cpp
@@ -1,4 +1,4 @@
-#include "ConfigDraft.h"
+#include "StagedConfigChange.h"
 
 #include <algorithm>
 
@@ -50,7 +50,7 @@
         if (workspace.workspace().empty()) {
             return "a workspace needs an id";
         }
-        applyWorkspace(workspace);
+        stageWorkspace(workspace);
     }
     for (const wire::EndpointChange &endpoint : change.endpoints()) {
         if (endpoint.endpoint().empty()) {
@@ -66,52 +66,52 @@
         if (removedWorkspaces_.contains(name)) {
             continue;
         }
-        if (std::optional<std::string> fault = faultOf(workspace, seenKeys)) {
-            return fault;
+        if (std::optional<std::string> error = findError(workspace, seenKeys)) {
+            return error;
         }
     }
     return std::nullopt;
 }
 
-wire::WorkspaceConfig &StagedConfigChange::workspaceToChange(const std::string &name)
+wire::WorkspaceConfig &StagedConfigChange::stagedWorkspace(const std::string &name)
 {
-    const auto [place, isNew] = workspaces_.try_emplace(name);
+    const auto [position, isNew] = workspaces_.try_emplace(name);
     if (!isNew) {
-        return place->second;
+        return position->second;
     }
-    place->second.set_workspace(name);
-    if (const wire::WorkspaceConfig *known = findEntry(state_.workspaces(), name)) {
-        place->second = *known;
-    } else if (const auto *old = findEntry(state_.removed_workspaces(), name)) {
-        // One that comes back keeps its top-ups: without them a sheet that is applied
-        // again would top up a second time what the ledger has long given out.
-        place->second = *old;
+    position->second.set_workspace(name);
+    if (const wire::WorkspaceConfig *existing = findEntry(state_.workspaces(), name)) {
+        position->second = *existing;
+    } else if (const auto *removed = findEntry(state_.removed_workspaces(), name)) {
+        // A workspace that is added again keeps its top-ups. Without them, a sheet that is
+        // applied again would add top-ups that the ledger granted long ago a second time.
+        position->second = *removed;
     }
-    return place->second;
+    return position->second;
 }
 
-void StagedConfigChange::applyWorkspace(const wire::WorkspaceChange &change)
+void StagedConfigChange::stageWorkspace(const wire::WorkspaceChange &change)
 {
-    wire::WorkspaceConfig &workspace = workspaceToChange(change.workspace());
+    wire::WorkspaceConfig &workspace = stagedWorkspace(change.workspace());
     if (!change.name().empty()) {
         workspace.set_name(change.name());
     }
     if (change.has_budget_tokens()) {
         workspace.set_budget_tokens(change.budget_tokens());
     }
-    addTopUps(change, workspace);
+    stageTopUps(change, workspace);
     if (change.has_settings()) {
         *workspace.mutable_settings() = change.settings();
     }
     changeKeys(change, workspace);
 }
 
-void StagedConfigChange::addTopUps(const wire::WorkspaceChange &change,
-                                   wire::WorkspaceConfig &workspace) const
+void StagedConfigChange::stageTopUps(const wire::WorkspaceChange &change,
+                                     wire::WorkspaceConfig &workspace) const
 {
     for (const wire::TopUp &topUp : change.top_ups()) {
-        // The planners' export is a whole day's sheet and is applied again after every
-        // correction: without the ids, each time would add the tokens once more.
+        // The planners' export covers a whole day and is applied again after every
+        // correction. Without the ids, each time would add the tokens again.
         if (safeguards_.deduplicateTopUps && hasTopUp(workspace, topUp.id())) {
             continue;
         }
@@ -119,24 +119,24 @@
     }
 }
 
-/// Does \p owner still have its keys once the draft is in place, without the draft
-/// saying so itself?
-bool StagedConfigChange::keepsKey(const WorkspaceId &owner) const
+/// Whether \p owner keeps its current keys, that is, this change neither updates nor
+/// removes it.
+bool StagedConfigChange::keepsItsKeys(const WorkspaceId &owner) const
 {
     return !workspaces_.contains(owner.text()) && !removedWorkspaces_.contains(owner.text());
 }
 
-std::optional<std::string> StagedConfigChange::faultOf(const wire::WorkspaceConfig &workspace,
-                                                       std::set<std::string> &seenKeys) const
+std::optional<std::string> StagedConfigChange::findError(const wire::WorkspaceConfig &workspace,
+                                                         std::set<std::string> &seenKeys) const
 {
     if (totalOverflows(workspace)) {
         return fmt::format("the prepaid total of workspace {} overflows", workspace.workspace());
     }
     for (const std::string &hash : workspace.key_hashes()) {
         const auto owner = keys_.find(hash);
-        const bool taken = owner != keys_.end() && keepsKey(owner->second);
-        if (taken || !seenKeys.insert(hash).second) {
-            // A key in two workspaces would let one spend and read as the other.
+        const bool ownedByOther = owner != keys_.end() && keepsItsKeys(owner->second);
+        if (ownedByOther || !seenKeys.insert(hash).second) {
+            // A key in two workspaces would let one spend and read on behalf of the other.
             return fmt::format("an API key of workspace {} belongs to another workspace",
                                workspace.workspace());
         }
@@ -154,21 +154,21 @@
 
 void StagedConfigChange::commitKeys(const wire::ConfigState &state, KeyIndex &keys) const
 {
-    // First all that go, then all that come: a key may move from one to another.
-    const auto forget = [&state, &keys](const std::string &name) {
-        const wire::WorkspaceConfig *known = findEntry(state.workspaces(), name);
-        if (!known) {
+    // Remove all old keys before adding the new ones: a key may move between workspaces.
+    const auto removeKeys = [&state, &keys](const std::string &name) {
+        const wire::WorkspaceConfig *existing = findEntry(state.workspaces(), name);
+        if (!existing) {
             return;
         }
-        for (const std::string &hash : known->key_hashes()) {
+        for (const std::string &hash : existing->key_hashes()) {
             keys.erase(hash);
         }
     };
     for (const auto &[name, workspace] : workspaces_) {
-        forget(name);
+        removeKeys(name);
     }
     for (const std::string &name : removedWorkspaces_) {
-        forget(name);
+        removeKeys(name);
     }
     for (const auto &[name, workspace] : workspaces_) {
         if (removedWorkspaces_.contains(name)) {
@@ -185,8 +185,8 @@
     auto &entries = *state.mutable_workspaces();
     wire::ConfigState added;
     for (const auto &[name, workspace] : workspaces_) {
-        if (wire::WorkspaceConfig *known = findEntry(entries, name)) {
-            *known = workspace;
+        if (wire::WorkspaceConfig *existing = findEntry(entries, name)) {
+            *existing = workspace;
             continue;
         }
         *added.add_workspaces() = workspace;
@@ -202,14 +202,14 @@
 {
     bool removed = false;
     for (const std::string &name : removedWorkspaces_) {
-        const wire::WorkspaceConfig *known = findEntry(state.workspaces(), name);
-        if (!known) {
+        const wire::WorkspaceConfig *existing = findEntry(state.workspaces(), name);
+        if (!existing) {
             continue;
         }
         removed = true;
         wire::WorkspaceConfig &tombstone = *state.add_removed_workspaces();
         tombstone.set_workspace(name);
-        *tombstone.mutable_top_ups() = known->top_ups();
+        *tombstone.mutable_top_ups() = existing->top_ups();
         eraseEntry(*state.mutable_workspaces(), name);
     }
     if (removed) {
@@ -222,8 +222,8 @@
     auto &entries = *state.mutable_endpoints();
     wire::ConfigState added;
     for (const auto &[name, endpoint] : endpoints_) {
-        if (wire::EndpointChange *known = findEntry(entries, name)) {
-            *known = endpoint;
+        if (wire::EndpointChange *existing = findEntry(entries, name)) {
+            *existing = endpoint;
         } else {
             *added.add_endpoints() = endpoint;
         }
--- a/lib/Config/StagedConfigChange.h
+++ b/lib/Config/StagedConfigChange.h
@@ -1,9 +1,9 @@
 #ifndef LIB_CONFIG_STAGEDCONFIGCHANGE_H
 #define LIB_CONFIG_STAGEDCONFIGCHANGE_H
 
-/// A configuration change on its way into the state: worked out and checked aside, so
-/// that a refused one has no effect, and put in place only where it changes something,
-/// since a copy of the whole state takes seconds at the size of 390,000 budgets.
+/// A configuration change that is computed and validated separately from the state, so
+/// that a rejected change has no effect. Committing it updates only the entries that it
+/// changes, since copying the whole state takes seconds with 390,000 budgets.
 
 #include <map>
 #include <optional>
@@ -21,29 +21,30 @@
 /// The workspace of each API key, by the key's hash.
 using KeyIndex = std::unordered_map<std::string, WorkspaceId>;
 
-/// Not thread safe. Used once.
+/// Not thread safe. For a single use.
 class StagedConfigChange
 {
 public:
-    /// \pre state and keys outlive this, and belong together.
+    /// \pre state and keys outlive this object; keys is the index of state's keys.
     StagedConfigChange(const wire::ConfigState &state, const KeyIndex &keys,
                        ConfigSafeguards safeguards)
         : state_(state), keys_(keys), safeguards_(safeguards)
     {}
 
-    /// Works \p change out. \returns why it is refused; nothing: it may be committed.
+    /// Computes and validates the effects of \p change. \returns why the change is rejected;
+    /// nullopt: it may be committed.
     std::optional<std::string> stage(const wire::ConfigChange &change);
-    /// Puts the draft in place. \pre add found no fault; state and keys are those that
-    /// this was made with.
+    /// Applies the staged change. \pre stage() returned nullopt; state and keys are those
+    /// passed to the constructor.
     void commit(wire::ConfigState &state, KeyIndex &keys) const;
 
 private:
-    wire::WorkspaceConfig &workspaceToChange(const std::string &name);
-    void applyWorkspace(const wire::WorkspaceChange &change);
-    void addTopUps(const wire::WorkspaceChange &change, wire::WorkspaceConfig &workspace) const;
-    std::optional<std::string> faultOf(const wire::WorkspaceConfig &workspace,
-                                       std::set<std::string> &seenKeys) const;
-    bool keepsKey(const WorkspaceId &owner) const;
+    wire::WorkspaceConfig &stagedWorkspace(const std::string &name);
+    void stageWorkspace(const wire::WorkspaceChange &change);
+    void stageTopUps(const wire::WorkspaceChange &change, wire::WorkspaceConfig &workspace) const;
+    std::optional<std::string> findError(const wire::WorkspaceConfig &workspace,
+                                         std::set<std::string> &seenKeys) const;
+    bool keepsItsKeys(const WorkspaceId &owner) const;
     void commitKeys(const wire::ConfigState &state, KeyIndex &keys) const;
     void commitWorkspaces(wire::ConfigState &state) const;
     void commitRemovals(wire::ConfigState &state) const;
@@ -52,7 +53,7 @@
     const wire::ConfigState &state_;
     const KeyIndex &keys_;
     ConfigSafeguards safeguards_;
-    std::map<std::string, wire::WorkspaceConfig> workspaces_; ///< as they will be
+    std::map<std::string, wire::WorkspaceConfig> workspaces_; ///< in their new form
     std::map<std::string, wire::EndpointChange> endpoints_;
     std::set<std::string> removedWorkspaces_;
     std::set<std::string> removedEndpoints_;
--- a/unittests/Config/ConfigFoldTest.cpp
+++ b/unittests/Config/ConfigFoldTest.cpp
@@ -53,11 +53,11 @@
     return record;
 }
 
-/// Folds bodies as one writer's records.
-class Folder
+/// Applies bodies as the records of one writer.
+class SingleWriterFold
 {
 public:
-    explicit Folder(ConfigSafeguards safeguards = {}) : fold(safeguards) {}
+    explicit SingleWriterFold(ConfigSafeguards safeguards = {}) : fold(safeguards) {}
 
     FoldOutcome apply(wire::Record body)
     {
@@ -67,8 +67,8 @@
     }
     uint64_t total(const std::string &workspace) const
     {
-        const wire::WorkspaceConfig *known = fold.findWorkspace(WorkspaceId(workspace));
-        return known ? prepaidTotal(*known) : 0;
+        const wire::WorkspaceConfig *config = fold.findWorkspace(WorkspaceId(workspace));
+        return config ? prepaidTotal(*config) : 0;
     }
 
     ConfigFold fold;
@@ -84,54 +84,57 @@
     uint64_t total; ///< of workspace w
 };
 
-constexpr FoldOutcome Yes = FoldOutcome::Accepted;
-constexpr FoldOutcome No = FoldOutcome::Refused;
+constexpr FoldOutcome Accepted = FoldOutcome::Accepted;
+constexpr FoldOutcome Rejected = FoldOutcome::Refused;
 
 const ConfigHistory ConfigHistories[] = {
-        {"Budget", {budget(0, "w", 5)}, {Yes}, 1, 5},
-        {"RacingOperators", {budget(0, "w", 5), budget(0, "w", 9)}, {Yes, No}, 1, 5},
-        {"FromAFutureVersion", {budget(1, "w", 5)}, {No}, 0, 0},
+        {"Budget", {budget(0, "w", 5)}, {Accepted}, 1, 5},
+        {"RacingOperators", {budget(0, "w", 5), budget(0, "w", 9)}, {Accepted, Rejected}, 1, 5},
+        {"BasedOnFutureVersion", {budget(1, "w", 5)}, {Rejected}, 0, 0},
         {"TopUpOnce",
          {budget(0, "w", 5), topUp(1, "w", "t", 3), topUp(2, "w", "t", 3)},
-         {Yes, Yes, Yes},
+         {Accepted, Accepted, Accepted},
          3,
          8},
-        {"TopUpOnceOverRemoval",
+        {"TopUpOnceAcrossRemoval",
          {topUp(0, "w", "t", 3), removal(1, "w"), topUp(2, "w", "t", 3)},
-         {Yes, Yes, Yes},
+         {Accepted, Accepted, Accepted},
          3,
          3},
         {"TotalOverflows",
          {budget(0, "w", UINT64_MAX), topUp(1, "w", "t", 1)},
-         {Yes, No},
+         {Accepted, Rejected},
          1,
          UINT64_MAX},
-        {"KeyOfTwoWorkspaces", {keyFor(0, "v", "ab"), keyFor(1, "w", "ab")}, {Yes, No}, 1, 0},
-        {"NoWorkspaceId", {budget(0, "", 5)}, {No}, 0, 0},
-        {"LedgerRecord", {records::bill("w", "r", 1)}, {No}, 0, 0},
+        {"KeyOfTwoWorkspaces",
+         {keyFor(0, "v", "ab"), keyFor(1, "w", "ab")},
+         {Accepted, Rejected},
+         1,
+         0},
+        {"NoWorkspaceId", {budget(0, "", 5)}, {Rejected}, 0, 0},
+        {"LedgerRecord", {records::bill("w", "r", 1)}, {Rejected}, 0, 0},
 };
 
 class ConfigFoldHistory : public testing::TestWithParam<ConfigHistory>
 {};
 
-TEST_P(ConfigFoldHistory, HasTheseOutcomes)
+TEST_P(ConfigFoldHistory, GivesExpectedOutcomes)
 {
-    Folder folder;
+    SingleWriterFold writer;
     std::vector<FoldOutcome> outcomes;
     for (const wire::Record &body : GetParam().bodies) {
-        outcomes.push_back(folder.apply(body));
+        outcomes.push_back(writer.apply(body));
     }
     EXPECT_EQ(outcomes, GetParam().outcomes);
-    EXPECT_EQ(folder.fold.version(), GetParam().version);
-    EXPECT_EQ(folder.total("w"), GetParam().total);
+    EXPECT_EQ(writer.fold.version(), GetParam().version);
+    EXPECT_EQ(writer.total("w"), GetParam().total);
 }
 
 INSTANTIATE_TEST_SUITE_P(Rules, ConfigFoldHistory, testing::ValuesIn(ConfigHistories),
                          [](const auto &row) { return std::string(row.param.name); });
 
-/// What each safeguard of the configuration is for: the same history with it and
-/// without it.
-struct ConfigWithout
+/// The same history with a safeguard enabled and disabled.
+struct SafeguardCase
 {
     const char *name;
     ConfigSafeguards without;
@@ -140,28 +143,28 @@
     uint64_t totalWithout;
 };
 
-const ConfigWithout ConfigWithouts[] = {
+const SafeguardCase SafeguardCases[] = {
         // Two operators start from version 1; the second hasn't seen the first's budget.
         {"CompareAndSwap",
          {.compareAndSwap = false},
          {budget(0, "w", 1), budget(1, "w", 50), budget(1, "w", 9)},
          50,
          9},
-        // The morning's sheet is applied, then applied again after a correction.
-        {"TopUpOnce",
+        // A sheet is applied, then applied again after a correction.
+        {"DeduplicateTopUps",
          {.deduplicateTopUps = false},
          {topUp(0, "w", "t", 3), topUp(1, "w", "t", 3)},
          3,
          6},
 };
 
-class ConfigSafeguard : public testing::TestWithParam<ConfigWithout>
+class ConfigSafeguard : public testing::TestWithParam<SafeguardCase>
 {};
 
-TEST_P(ConfigSafeguard, IsNeeded)
+TEST_P(ConfigSafeguard, ChangesTheTotal)
 {
-    Folder with;
-    Folder without(GetParam().without);
+    SingleWriterFold with;
+    SingleWriterFold without(GetParam().without);
     for (const wire::Record &body : GetParam().bodies) {
         with.apply(body);
         without.apply(body);
@@ -170,32 +173,32 @@
     EXPECT_EQ(without.total("w"), GetParam().totalWithout);
 }
 
-INSTANTIATE_TEST_SUITE_P(Flags, ConfigSafeguard, testing::ValuesIn(ConfigWithouts),
+INSTANTIATE_TEST_SUITE_P(Flags, ConfigSafeguard, testing::ValuesIn(SafeguardCases),
                          [](const auto &row) { return std::string(row.param.name); });
 
-TEST(ConfigFold, TakesOnlyNewerStates)
+TEST(ConfigFold, AdoptsOnlyNewerStates)
 {
-    Folder old;
+    SingleWriterFold old;
     old.apply(budget(0, "w", 5));
-    Folder ahead;
-    ahead.apply(budget(0, "w", 5));
-    ahead.apply(budget(1, "w", 6));
-    EXPECT_TRUE(old.fold.adoptIfNewer(ahead.fold.state()));
+    SingleWriterFold newer;
+    newer.apply(budget(0, "w", 5));
+    newer.apply(budget(1, "w", 6));
+    EXPECT_TRUE(old.fold.adoptIfNewer(newer.fold.state()));
     EXPECT_EQ(old.total("w"), 6U);
-    Folder behind;
-    behind.apply(budget(0, "w", 5));
-    EXPECT_FALSE(old.fold.adoptIfNewer(behind.fold.state()));
+    SingleWriterFold older;
+    older.apply(budget(0, "w", 5));
+    EXPECT_FALSE(old.fold.adoptIfNewer(older.fold.state()));
     EXPECT_EQ(old.fold.version(), 2U);
 }
 
-/// An operator's answer was lost, and the keeper it asks has meanwhile taken the
-/// state from a peer: the copy that is sent again reads as the accepted one.
-TEST(ConfigFold, KnowsAnAcceptedChangeOverATakenState)
+/// An operator loses the reply to a change and retries at a keeper that has adopted
+/// the state from a peer: the change must still be known as accepted.
+TEST(ConfigFold, KnowsAcceptedChangesOfAnAdoptedState)
 {
-    Folder ahead;
-    ahead.apply(budget(0, "w", 5));
+    SingleWriterFold newer;
+    newer.apply(budget(0, "w", 5));
     ConfigFold fresh;
-    ASSERT_TRUE(fresh.adoptIfNewer(ahead.fold.state()));
+    ASSERT_TRUE(fresh.adoptIfNewer(newer.fold.state()));
     EXPECT_EQ(fresh.outcomeOf(Incarnation("op"), 1), FoldOutcome::Accepted);
     EXPECT_EQ(fresh.outcomeOf(Incarnation("op"), 2), std::nullopt);
     EXPECT_EQ(fresh.apply(records::from("op", 1, budget(0, "w", 5)), 1).outcome,
@@ -205,13 +208,13 @@
 
 TEST(ConfigFold, FindsAWorkspaceByKey)
 {
-    Folder folder;
-    folder.apply(keyFor(0, "v", "aa"));
-    folder.apply(keyFor(1, "w", "bb"));
-    ASSERT_NE(folder.fold.findWorkspaceByKeyHash("bb"), nullptr);
-    EXPECT_EQ(folder.fold.findWorkspaceByKeyHash("bb")->workspace(), "w");
-    folder.apply(removal(2, "w"));
-    EXPECT_EQ(folder.fold.findWorkspaceByKeyHash("bb"), nullptr);
+    SingleWriterFold writer;
+    writer.apply(keyFor(0, "v", "aa"));
+    writer.apply(keyFor(1, "w", "bb"));
+    ASSERT_NE(writer.fold.findWorkspaceByKeyHash("bb"), nullptr);
+    EXPECT_EQ(writer.fold.findWorkspaceByKeyHash("bb")->workspace(), "w");
+    writer.apply(removal(2, "w"));
+    EXPECT_EQ(writer.fold.findWorkspaceByKeyHash("bb"), nullptr);
 }
 
 } // namespace
--- a/unittests/Config/ConfigModelTest.cpp
+++ b/unittests/Config/ConfigModelTest.cpp
@@ -15,7 +15,7 @@
 {
     wire::Record record;
     wire::ConfigChange &change = *record.mutable_config_change();
-    // Now and then from a version that is no longer current.
+    // Sometimes based on a version that is no longer current.
     change.set_base_version(*rc::gen::inRange(0, 5) == 0 ? version / 2 : version);
     const int count = *rc::gen::inRange(0, 3);
     for (int index = 0; index < count; ++index) {
@@ -36,11 +36,11 @@
     return record;
 }
 
-/// A change is put in place only where it changes something. After any history the
-/// entries must stand in order, no top-up twice, and keys must lead where a process
-/// that takes the whole state from a peer finds them: else a caller would be known as
-/// one workspace at one host and as another elsewhere.
-RC_GTEST_PROP(ConfigModel, ChangesInPlaceLeaveWhatTheWholeStateSays, ())
+/// Changes update only the affected entries in place. After any history the entries must be
+/// sorted, no top-up may be applied twice, and keys must map to the same workspaces as in a
+/// process that adopts the whole state from a peer: otherwise two hosts would identify a
+/// caller as different workspaces.
+RC_GTEST_PROP(ConfigModel, InPlaceChangesMatchTheWholeState, ())
 {
     ConfigFold fold;
     const auto length = *rc::gen::inRange<uint64_t>(1, 30);
@@ -56,12 +56,12 @@
         RC_ASSERT(result.outcome == FoldOutcome::Accepted
                   || unchanged.SerializeAsString() == fold.state().SerializeAsString());
     }
-    ConfigFold taken;
-    RC_ASSERT(taken.adoptIfNewer(fold.state()));
+    ConfigFold adopted;
+    RC_ASSERT(adopted.adoptIfNewer(fold.state()));
     for (const std::string &key : Keys) {
-        const wire::WorkspaceConfig *here = fold.findWorkspaceByKeyHash(key);
-        const wire::WorkspaceConfig *there = taken.findWorkspaceByKeyHash(key);
-        RC_ASSERT((here ? here->workspace() : "") == (there ? there->workspace() : ""));
+        const wire::WorkspaceConfig *applied = fold.findWorkspaceByKeyHash(key);
+        const wire::WorkspaceConfig *peer = adopted.findWorkspaceByKeyHash(key);
+        RC_ASSERT((applied ? applied->workspace() : "") == (peer ? peer->workspace() : ""));
     }
     for (const wire::WorkspaceConfig &workspace : fold.state().workspaces()) {
         RC_ASSERT(fold.findWorkspace(WorkspaceId(workspace.workspace())) == &workspace);
--- a/unittests/Config/ServingConfigTest.cpp
+++ b/unittests/Config/ServingConfigTest.cpp
@@ -1,4 +1,4 @@
-/// Which route a request takes, by its host and path as callers write them.
+/// Route lookup by the host and path of a request, as callers write them.
 
 #include <gtest/gtest.h>
 
@@ -8,39 +8,40 @@
 
 namespace {
 
-struct PlaceCase
+struct RouteCase
 {
     const char *name;
     const char *host;
     const char *path;
-    const char *route; ///< none: nullptr
+    const char *route; ///< nullptr: none
 };
 
-class RouteOfAPlace : public testing::TestWithParam<PlaceCase>
+class RouteLookup : public testing::TestWithParam<RouteCase>
 {};
 
-const PlaceCase PlaceCases[] = {
+const RouteCase RouteCases[] = {
         {"AsConfigured", "h.example", "/a/x", "a"},
-        {"InCapitals", "H.Example", "/a/x", "a"},
+        {"UpperCase", "H.Example", "/a/x", "a"},
         {"WithPort", "h.example:8740", "/a/x", "a"},
         {"WithEmptyPort", "h.example:", "/a/x", "a"},
-        {"EndsInADot", "h.example.", "/a/x", "a"},
-        {"EndsInADotBeforeThePort", "h.example.:8740", "/a/x", "a"},
+        {"TrailingDot", "h.example.", "/a/x", "a"},
+        {"TrailingDotBeforePort", "h.example.:8740", "/a/x", "a"},
         {"AddressInBrackets", "[fd00::1]", "/a/x", "address"},
         {"AddressInBracketsWithPort", "[fd00::1]:8740", "/a/x", "address"},
         {"LongestPrefix", "h.example", "/a/b/x", "ab"},
         {"PrefixItself", "h.example", "/a/b/", "ab"},
-        {"SlashOfTheQueryDoesntCount", "h.example", "/a/x?y=/b/", "a"},
-        {"PrefixWithoutItsSlash", "h.example", "/a", nullptr},
+        {"SlashInQueryIsIgnored", "h.example", "/a/x?y=/b/", "a"},
+        {"PrefixWithoutSlash", "h.example", "/a", nullptr},
         {"OtherPath", "h.example", "/ab/x", nullptr},
         {"OtherHost", "other.example", "/a/x", nullptr},
-        {"HostsEnd", "example", "/a/x", nullptr},
+        {"HostSuffix", "example", "/a/x", nullptr},
         {"NoHost", "", "/a/x", nullptr},
         {"NoPath", "h.example", "", nullptr},
 };
 
-// A caller gets 404 for a configured route whose place it writes in another valid way.
-TEST_P(RouteOfAPlace, IsFoundHoweverItIsWritten)
+// Guards against a 404 for a configured route whose host or path the caller writes in another
+// valid form.
+TEST_P(RouteLookup, MatchesHostAndPath)
 {
     ServingConfig config;
     const auto add = [&config](const char *name, const char *host, const char *prefix) {
@@ -61,7 +62,7 @@
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(Rows, RouteOfAPlace, testing::ValuesIn(PlaceCases),
+INSTANTIATE_TEST_SUITE_P(Rows, RouteLookup, testing::ValuesIn(RouteCases),
                          [](const auto &row) { return std::string(row.param.name); });
 
 } // namespace
