--- a/include/sequoiagate/Base/BootClock.h
+++ b/include/sequoiagate/Base/BootClock.h
@@ -1,8 +1,8 @@
 #ifndef SEQUOIAGATE_BASE_BOOTCLOCK_H
 #define SEQUOIAGATE_BASE_BOOTCLOCK_H
 
-/// The host's clock since boot: nobody sets it, and it goes on while the host sleeps. Between
-/// hosts, and between boots of one host, it means nothing.
+/// The time since the host booted. This clock can't be set and keeps running while the host is
+/// suspended. Its values can't be compared between hosts, or between boots of one host.
 
 #include "sequoiagate/Base/Time.h"
 
--- a/include/sequoiagate/Base/Ids.h
+++ b/include/sequoiagate/Base/Ids.h
@@ -1,8 +1,8 @@
 #ifndef SEQUOIAGATE_BASE_IDS_H
 #define SEQUOIAGATE_BASE_IDS_H
 
-/// Names of things as distinct types, so that a host can't be passed where a
-/// workspace is meant.
+/// Identifiers as distinct types, so that a host can't be passed where a workspace
+/// is expected.
 
 #include <functional>
 #include <ostream>
@@ -11,8 +11,8 @@
 
 namespace sequoiagate {
 
-/// A string that names one kind of thing. Value type; comparing two kinds
-/// doesn't compile.
+/// A string that identifies an object of one kind. Value type; comparing ids of two
+/// kinds doesn't compile.
 template <typename Tag>
 class Id
 {
@@ -45,14 +45,14 @@
 using ReservationId = Id<struct ReservationTag>;
 using AttemptId = Id<struct AttemptTag>;
 using RunKey = Id<struct RunKeyTag>;
-using ServiceId = Id<struct ServiceTag>; ///< a model or a plain service that callers name
+using ServiceId = Id<struct ServiceTag>; ///< a model or a plain service, as named by callers
 
-/// One life of one process: random at each start, never used again. What a
+/// Identifies one run of a process: random at each start, never reused. Whatever a
 /// process promised ends with its incarnation.
 using Incarnation = Id<struct IncarnationTag>;
 
-/// A random 128-bit name in 32 hex digits. Thread safe.
-/// \throws std::runtime_error if the system gives no randomness.
+/// A random 128-bit identifier as 32 hex digits. Thread safe.
+/// \throws std::runtime_error if the system's random source fails.
 std::string randomHex128();
 
 template <typename IdType>
--- a/include/sequoiagate/Base/Rendezvous.h
+++ b/include/sequoiagate/Base/Rendezvous.h
@@ -1,9 +1,9 @@
 #ifndef SEQUOIAGATE_BASE_RENDEZVOUS_H
 #define SEQUOIAGATE_BASE_RENDEZVOUS_H
 
-/// Rendezvous (highest random weight) hashing: every process that believes in
-/// the same members picks the same one, and a lost member moves only its own
-/// keys. xxHash, since absl::Hash and std::hash differ between processes.
+/// Rendezvous (highest random weight) hashing: all processes with the same list of
+/// members pick the same one, and losing a member moves only its own keys. Uses
+/// xxHash, since absl::Hash and std::hash differ between processes.
 
 #include <cstdint>
 #include <string_view>
@@ -17,7 +17,7 @@
 /// The weight of \p member for \p key; the highest wins.
 uint64_t rendezvousWeight(std::string_view key, std::string_view member);
 
-/// The index in \p members of the key's choice, ties by name.
+/// The index of the member with the highest weight for \p key; ties are broken by name.
 /// \pre members isn't empty.
 std::size_t rendezvousChoice(std::string_view key, const std::vector<std::string_view> &members);
 
--- a/include/sequoiagate/Base/Statechart.h
+++ b/include/sequoiagate/Base/Statechart.h
@@ -1,8 +1,8 @@
 #ifndef SEQUOIAGATE_BASE_STATECHART_H
 #define SEQUOIAGATE_BASE_STATECHART_H
 
-/// State charts that stand in files (share/statecharts/*.json) and are
-/// interpreted. The file is the one place where a life's states are listed:
+/// State charts that are loaded from files (share/statecharts/*.json) and
+/// interpreted. The file is the only place that defines states and transitions:
 ///   {"name": "drain", "initial": "serving", "final": ["stopped"],
 ///    "events": ["stop", "empty"],
 ///    "states": {"serving": {"stop": "draining", "empty": "serving"}, ...}}
@@ -25,9 +25,9 @@
 class Statechart
 {
 public:
-    /// Reads and checks a chart: no unreachable state, no unhandled event, every
-    /// state leads to a final one.
-    /// \throws StatechartError naming the state or event at fault.
+    /// Parses and validates a chart: every state is reachable and handles every event,
+    /// and from every state a final one can be reached.
+    /// \throws StatechartError that names the invalid state or event.
     static Statechart parse(const std::string &json);
 
     const std::string &name() const { return name_; }
@@ -47,17 +47,17 @@
     void check() const;
     void checkReachable() const;
     void checkComplete() const;
-    void checkEnds() const;
+    void checkTermination() const;
 
     std::string name_;
     std::string initial_;
-    std::vector<std::string> finals_;
+    std::vector<std::string> finalStates_;
     std::vector<std::string> events_;
     std::vector<std::string> states_;
     std::vector<Transition> transitions_;
 };
 
-/// One thing's position in a chart. Not thread safe.
+/// The current state of one object in a chart. Not thread safe.
 class StatechartInstance
 {
 public:
--- a/include/sequoiagate/Base/Verdict.h
+++ b/include/sequoiagate/Base/Verdict.h
@@ -1,9 +1,8 @@
 #ifndef SEQUOIAGATE_BASE_VERDICT_H
 #define SEQUOIAGATE_BASE_VERDICT_H
 
-/// What a failure says about the work behind it: whether it may have run, why,
-/// and when to come back. Every failure that crosses a part or reaches a caller
-/// carries one.
+/// The description of failed work: whether it may have run, why it failed and when to
+/// retry. Every failure that crosses a component boundary or reaches a caller has one.
 
 #include <optional>
 #include <stdexcept>
@@ -14,37 +13,37 @@
 
 namespace sequoiagate {
 
-/// Whether the work may have taken effect. Only NotRun may be retried for a
-/// call that is not idempotent.
+/// Whether the work may have taken effect. A call that isn't idempotent may be retried
+/// only after NotRun.
 enum class Execution {
     NotRun,     ///< no byte of it reached an endpoint
-    MayHaveRun, ///< it was sent, and its end isn't known
+    MayHaveRun, ///< it was sent, but its outcome is unknown
     Ran,
 };
 
-/// The closed set of reasons for a refusal or failure. Each appears in answers,
-/// logs and the label of a metric under the name that reasonName gives.
+/// The closed set of reasons for a rejection or failure. Responses, logs and metric
+/// labels show the name that reasonName() returns.
 enum class Reason {
     None,
     BadRequest,
     Unauthenticated,
     NotAllowed,        ///< the workspace may not call that service
-    UnknownRoute,      ///< no route of the configuration leads anywhere from that place
-    UnknownService,    ///< the configuration has no endpoint that offers it
+    UnknownRoute,      ///< no configured route matches the host and path
+    UnknownService,    ///< no configured endpoint offers it
     BudgetSpent,       ///< no budget remains anywhere
-    BudgetUnreachable, ///< budget may remain, but can't be had here now
-    QueueFull,         ///< admission turned it away
-    QueueTimeout,      ///< it waited until its deadline
-    RateShare,         ///< the workspace is over its fair share under saturation
+    BudgetUnreachable, ///< budget may remain, but can't be obtained here now
+    QueueFull,         ///< rejected by admission control
+    QueueTimeout,      ///< its deadline passed while it was queued
+    RateShare,         ///< the workspace exceeds its fair share under saturation
     NoEndpoint,        ///< none that offers it is listed, or all are leaving, ejected or down
-    EndpointFailed,    ///< the endpoint failed before or while it answered
+    EndpointFailed,    ///< the endpoint failed before or during its response
     StreamCut,         ///< the stream ended without its end marker
-    KeeperUnreachable, ///< no keeper of the failure domain answers
-    LogUnavailable,    ///< what must be recorded first can't be
-    AlreadyRunning,    ///< the same request is open elsewhere
-    AlreadyClaimed,    ///< a run claim by somebody else stands
-    KeyTooOld,         ///< the key is older than the claims' retention
-    BodyMismatch,      ///< the same id came with another body
+    KeeperUnreachable, ///< no keeper of the failure domain responds
+    LogUnavailable,    ///< a record that must be written first can't be written
+    AlreadyRunning,    ///< the same request is in progress elsewhere
+    AlreadyClaimed,    ///< another party holds a claim on the run
+    KeyTooOld,         ///< the idempotency key is older than the retention of claims
+    BodyMismatch,      ///< the same id was used with another body
     NotReady,          ///< no configuration yet
     Draining,
     Timeout,
@@ -57,16 +56,16 @@
 std::optional<Reason> reasonFromName(std::string_view name);
 std::string_view executionName(Execution execution);
 
-/// The outcome of work that didn't come to its good end.
+/// Describes work that didn't complete successfully.
 struct Verdict
 {
     Execution execution = Execution::NotRun;
     Reason reason = Reason::None;
     std::string detail;             ///< one sentence for people, lower case
-    std::optional<Instant> retryAt; ///< when asking again makes sense; nullopt: it doesn't
+    std::optional<Instant> retryAt; ///< when to retry; nullopt: a retry won't help
 };
 
-/// Carries a verdict through code that can't go on.
+/// Thrown by code that can't continue; carries the verdict to its caller.
 class VerdictError : public std::runtime_error
 {
 public:
--- a/lib/Base/BootClock.cpp
+++ b/lib/Base/BootClock.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// Lets tests give each host on one machine a clock of its own. It is fixed for the process's
-/// life, and nothing may rest on where a clock since boot begins.
+/// Lets tests give each host on one machine its own clock. The offset is constant for the
+/// lifetime of the process, and no code may depend on the origin of a boot clock.
 Millis offsetForTests()
 {
     const char *const text = std::getenv("SEQUOIAGATE_BOOT_CLOCK_OFFSET_MS");
--- a/lib/Base/Statechart.cpp
+++ b/lib/Base/Statechart.cpp
@@ -24,7 +24,7 @@
         const nlohmann::json file = nlohmann::json::parse(json);
         chart.name_ = file.at("name").get<std::string>();
         chart.initial_ = file.at("initial").get<std::string>();
-        chart.finals_ = file.at("final").get<std::vector<std::string>>();
+        chart.finalStates_ = file.at("final").get<std::vector<std::string>>();
         chart.events_ = file.at("events").get<std::vector<std::string>>();
         for (const auto &[state, row] : file.at("states").items()) {
             chart.states_.push_back(state);
@@ -41,7 +41,7 @@
 
 bool Statechart::isFinal(std::string_view state) const
 {
-    return contains(finals_, state);
+    return contains(finalStates_, state);
 }
 
 const std::string &Statechart::next(std::string_view state, std::string_view event) const
@@ -51,8 +51,8 @@
             return transition.target;
         }
     }
-    throw StatechartError(
-            fmt::format("chart {}: state '{}' has no event '{}'", name_, state, event));
+    throw StatechartError(fmt::format("chart {}: state '{}' has no transition for event '{}'",
+                                      name_, state, event));
 }
 
 void Statechart::check() const
@@ -60,14 +60,14 @@
     if (!contains(states_, initial_)) {
         throw StatechartError(fmt::format("chart {}: unknown initial state '{}'", name_, initial_));
     }
-    for (const std::string &state : finals_) {
+    for (const std::string &state : finalStates_) {
         if (!contains(states_, state)) {
             throw StatechartError(fmt::format("chart {}: unknown final state '{}'", name_, state));
         }
     }
     checkComplete();
     checkReachable();
-    checkEnds();
+    checkTermination();
 }
 
 void Statechart::checkComplete() const
@@ -114,18 +114,18 @@
     }
 }
 
-void Statechart::checkEnds() const
+void Statechart::checkTermination() const
 {
-    std::set<std::string> ending(finals_.begin(), finals_.end());
+    std::set<std::string> terminating(finalStates_.begin(), finalStates_.end());
     for (std::size_t round = 0; round < states_.size(); ++round) {
         for (const Transition &transition : transitions_) {
-            if (ending.count(transition.target) > 0) {
-                ending.insert(transition.state);
+            if (terminating.count(transition.target) > 0) {
+                terminating.insert(transition.state);
             }
         }
     }
     for (const std::string &state : states_) {
-        if (ending.count(state) == 0) {
+        if (terminating.count(state) == 0) {
             throw StatechartError(
                     fmt::format("chart {}: state '{}' leads to no final state", name_, state));
         }
--- a/unittests/Base/StatechartTest.cpp
+++ b/unittests/Base/StatechartTest.cpp
@@ -6,17 +6,17 @@
 
 namespace {
 
-struct BadChart
+struct InvalidChart
 {
     const char *name;
     const char *json;
-    const char *complaint;
+    const char *message;
 };
 
-class StatechartRefuses : public testing::TestWithParam<BadChart>
+class InvalidStatechart : public testing::TestWithParam<InvalidChart>
 {};
 
-constexpr BadChart BadCharts[] = {
+constexpr InvalidChart InvalidCharts[] = {
         {"NotJson", "{", "can't be read"},
         {"Unreachable",
          R"({"name":"c","initial":"a","final":["a","b"],"events":["e"],
@@ -25,7 +25,7 @@
         {"Unhandled",
          R"({"name":"c","initial":"a","final":["a"],"events":["e"],"states":{"a":{}}})",
          "doesn't handle event 'e'"},
-        {"NoEnd",
+        {"NoFinalState",
          R"({"name":"c","initial":"a","final":["b"],"events":["e","f"],
              "states":{"a":{"e":"b","f":"c"},"b":{"e":"b","f":"b"},"c":{"e":"c","f":"c"}}})",
          "'c' leads to no final state"},
@@ -34,30 +34,30 @@
          "unknown state 'x'"},
 };
 
-TEST_P(StatechartRefuses, NamesTheFault)
+TEST_P(InvalidStatechart, MessageNamesTheError)
 {
     try {
         Statechart::parse(GetParam().json);
-        FAIL() << "the chart was taken";
+        FAIL() << "the chart was accepted";
     } catch (const StatechartError &error) {
-        EXPECT_NE(std::string(error.what()).find(GetParam().complaint), std::string::npos)
+        EXPECT_NE(std::string(error.what()).find(GetParam().message), std::string::npos)
                 << error.what();
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(Charts, StatechartRefuses, testing::ValuesIn(BadCharts),
+INSTANTIATE_TEST_SUITE_P(Charts, InvalidStatechart, testing::ValuesIn(InvalidCharts),
                          [](const auto &row) { return std::string(row.param.name); });
 
-TEST(Statechart, WalksToItsEnd)
+TEST(Statechart, ReachesItsFinalState)
 {
     const Statechart chart = Statechart::parse(
             R"({"name":"c","initial":"a","final":["b"],"events":["e"],
                 "states":{"a":{"e":"b"},"b":{"e":"b"}}})");
-    StatechartInstance position(chart);
-    EXPECT_FALSE(position.isFinished());
-    position.handle("e");
-    EXPECT_TRUE(position.isFinished());
-    EXPECT_THROW(position.handle("unknown"), StatechartError);
+    StatechartInstance instance(chart);
+    EXPECT_FALSE(instance.isFinished());
+    instance.handle("e");
+    EXPECT_TRUE(instance.isFinished());
+    EXPECT_THROW(instance.handle("unknown"), StatechartError);
 }
 
 } // namespace
