--- a/lib/Config/Sheet.cpp
+++ b/lib/Config/Sheet.cpp
@@ -83,8 +83,9 @@
 FieldError readWorkspace(std::string_view text, ParsedRow &row)
 {
     if (!isId(text)) {
-        return fmt::format("'{}' is no id: 1 to {} of a-z, A-Z, 0-9, '-', '_' and '.'", text,
-                           MaxIdLength);
+        return fmt::format("'{}' is not a valid id: expected 1 to {} characters of a-z, A-Z, 0-9, "
+                           "'-', '_' and '.'",
+                           text, MaxIdLength);
     }
     row.workspace.workspace = WorkspaceId(std::string(text));
     return std::nullopt;
@@ -112,8 +113,9 @@
 FieldError readTopUpId(std::string_view text, ParsedRow &row)
 {
     if (!text.empty() && !isId(text)) {
-        return fmt::format("'{}' is no id: 1 to {} of a-z, A-Z, 0-9, '-', '_' and '.'", text,
-                           MaxIdLength);
+        return fmt::format("'{}' is not a valid id: expected 1 to {} characters of a-z, A-Z, 0-9, "
+                           "'-', '_' and '.'",
+                           text, MaxIdLength);
     }
     row.topUp.id = std::string(text);
     return std::nullopt;
