--- a/include/sequoiagate/Decisions/Admission.h
+++ b/include/sequoiagate/Decisions/Admission.h
@@ -6,7 +6,7 @@
 ///
 /// Guards against bursts and saturation. If every request were admitted, the endpoints'
 /// own queues would grow for as long as the overload lasts, first tokens would arrive
-/// after the callers have hung up, and the work done for those callers would delay the
+/// after the callers have disconnected, and the work done for those callers would delay the
 /// next ones: goodput falls while every endpoint is busy.
 ///
 /// - Slots bound the requests in flight. A stream holds its slot for about 13 s, so a
@@ -16,7 +16,7 @@
 ///   second bottleneck.
 /// - An interactive request waits at most interactiveWait: the target of 0.63 s to the
 ///   first token, less the 0.23 s in which 99% of first tokens arrive once a request is
-///   sent. With 0.3 s, small workspaces were refused more often at today's size, where
+///   sent. With 0.3 s, small workspaces were refused more often in a small fleet, where
 ///   a router frees six slots a second (Jain index 0.894, against 0.907 with 0.4 s).
 ///   Batch requests wait at most maximumWait.
 /// - A request is refused at once if its expected wait (the requests ahead of it over the
@@ -46,7 +46,7 @@
 ///   return faster than they can be served, and new callers are refused as well: a
 ///   tenfold burst of 5 s was still noticeable 22 s after its end.
 ///
-/// Budgets are reserved before a request is offered here, so that no request waits
+/// Budgets are reserved before a request is offered, so that no request waits
 /// without the tokens to run.
 
 #include <cstddef>
@@ -121,7 +121,7 @@
     /// now be admitted.
     /// \param tokensServed prompt and output, as billed
     void finished(const RequestId &request, uint64_t tokensServed, Instant now);
-    /// Removes a waiting request whose caller hung up.
+    /// Removes a waiting request whose caller disconnected.
     void cancelled(const RequestId &request, Instant now);
     /// Sets how many requests may be in flight, from the endpoints' free capacity.
     void setSlots(uint32_t slots, Instant now);
--- a/include/sequoiagate/Decisions/DistributedRetryBudget.h
+++ b/include/sequoiagate/Decisions/DistributedRetryBudget.h
@@ -6,7 +6,7 @@
 ///
 /// Guards against many endpoints that fail or refuse requests. If each process bounded its
 /// retries independently, their sum would be several times the bound, just when the remaining
-/// endpoints can least handle it. Here each process uses an equal share of the fixed allowance
+/// endpoints can least handle it. Instead, each process uses an equal share of the fixed allowance
 /// and a proportional allowance for its own requests, so that the sum stays within the bound
 /// without communication. Processes that aren't counted would make the sum too high: only a
 /// part of the bound is used.
--- a/include/sequoiagate/Decisions/EndpointHealth.h
+++ b/include/sequoiagate/Decisions/EndpointHealth.h
@@ -38,7 +38,9 @@
 
 struct HealthSettings
 {
-    double slowFactor = 3.0;          ///< times the peers' median; 10% of such means reach 2
+    /// Times the peers' median. When an endpoint's own figure was a moving mean of up to 16
+    /// samples, 10% of those means reached 2.
+    double slowFactor = 3.0;
     double failureMargin = 0.3;       ///< above the peers' median failure share
     double maxEjectedShare = 1.0 / 3; ///< of the peers; 0 turns ejection off
     double ejectionBatchShare = 0.1;  ///< of the peers, ejected in one ejectionInterval
@@ -95,7 +97,7 @@
         Instant firstTokenAt = Never;
     };
 
-    /// Whether an attempt describes the endpoint's present state: it was sent after the
+    /// Whether an attempt describes the endpoint's current state: it was sent after the
     /// last ejection ended.
     bool isCurrent(const OpenAttempt &open) const { return open.sentAt >= ejectedUntil_; }
     void sampleFirstToken(OpenAttempt &open, Instant at);
@@ -116,7 +118,7 @@
     bool firstTokensReported_ = false; ///< onFirstToken has been called
 
     std::unordered_map<RequestId, OpenAttempt> open_;
-    std::deque<RequestId> pending_; ///< open ones without a first token, oldest first
+    std::deque<RequestId> pending_; ///< in flight without a first token, oldest first
     Instant firstTokensExpireAt_;   ///< the first-token samples are discarded then
     RecentMedian firstToken_;       ///< over the expected time
     RecentMedian firstTokenSeconds_;
--- a/include/sequoiagate/Decisions/EndpointLoad.h
+++ b/include/sequoiagate/Decisions/EndpointLoad.h
@@ -6,9 +6,10 @@
 /// Guards against load reports that lag. A router that relies on the last report alone
 /// sends everything to the endpoint that was idle in it, for as long as the lag lasts;
 /// the next report shows that endpoint overloaded and another one idle, and the load
-/// oscillates between them. Here the requests that this router sent and finished since
-/// the report was observed are added to it. What other routers sent since is unknown:
-/// EndpointSelector spreads its selections so that it needn't be known.
+/// oscillates between them. Instead, the number of requests that this router sent since
+/// the report was observed, less those that finished, is added to the reported number. What
+/// other routers sent since is unknown: EndpointSelector spreads its selections so that it
+/// needn't be known.
 
 #include <algorithm>
 #include <cstdint>
@@ -31,18 +32,18 @@
     /// A report observed before the last one is ignored.
     void onReport(const LoadReport &report);
 
-    /// Estimated number of requests running or waiting there.
+    /// Estimated number of requests running or waiting at the endpoint.
     double requests(Instant now) const
     {
         return hasFreshReport(now)
                        ? std::max<double>(ownRequests_, reportedRequests(now) + changeSinceReport_)
                        : ownRequests_;
     }
-    /// Requests of this router that are open there.
+    /// Requests of this router in flight at the endpoint.
     uint32_t ownRequests() const { return ownRequests_; }
-    /// Requests there when the last report was observed, and this router's among them. The
-    /// router's share is computed from these two because they describe one moment. Computed
-    /// from its present requests, each router's share of an older total grew with the load,
+    /// Requests at the endpoint when the last report was observed, and this router's among them.
+    /// The router's share is computed from these two because they describe one moment. Computed
+    /// from its current requests, each router's share of an older total grew with the load,
     /// and in a burst the routers together took more than there was.
     double reportedRequests(Instant now) const
     {
--- a/include/sequoiagate/Decisions/EndpointSelector.h
+++ b/include/sequoiagate/Decisions/EndpointSelector.h
@@ -6,9 +6,9 @@
 ///
 /// Guards against callers or prefix keys that make up most of the load. Selection by
 /// least requests in flight prefills the same prefix at every endpoint; plain consistent
-/// hashing sends a hot prefix to one endpoint, whose callers wait while others idle. Here
-/// a request goes to the first endpoint in its prefix's rendezvous order whose load is
-/// below boundFactor times the mean (Mirrokni, Thorup and Zadimoghaddam, "Consistent
+/// hashing sends a hot prefix to one endpoint, whose callers wait while others idle.
+/// Instead, a request goes to the first endpoint in its prefix's rendezvous order whose load
+/// is below boundFactor times the mean (Mirrokni, Thorup and Zadimoghaddam, "Consistent
 /// Hashing with Bounded Loads", 2018): a hot prefix spreads over as many endpoints as it
 /// needs and no more.
 ///
@@ -85,8 +85,8 @@
     /// second request.
     double boundExemptShare = 0.0;
     /// Number of homes, in any failure domain, of a prefix that saves more prefill time than
-    /// a round trip costs; the least loaded of them is selected. 0: such a prefix has one home
-    /// in each domain, and the bound above applies. Two choices even out the load almost as
+    /// a round trip costs; the least loaded of them is selected. 0: the prefix has one home
+    /// in each domain, and boundFactor applies. Two choices even out the load almost as
     /// well as all would (Mitzenmacher, "The power of two choices", 2001), and a prefix is
     /// prefilled by two endpoints, not by all.
     uint32_t prefixHomes = 0;
@@ -99,7 +99,8 @@
     double kvLimit = 0.9;         ///< of its KV memory; beyond it an engine preempts and recomputes
     Interval defaultRoundTrip = std::chrono::milliseconds(5); ///< to other domains, until measured
     bool longPromptLanes = true;
-    /// Routers that send to the same endpoints, as membership reports; 6 to 9 hosts today.
+    /// Routers that send to the same endpoints, as membership reports. Deployments have 6 to 9
+    /// hosts.
     uint32_t routerCount = 9;
     uint64_t seed = 1;
     HealthSettings health;
@@ -132,10 +133,10 @@
     /// Sets how many routers send to these endpoints. A wrong count makes the load uneven
     /// between routers until it is corrected.
     void setRouterCount(uint32_t count) { settings_.routerCount = count; }
-    /// Returns how many requests this router may have open at the endpoints of all services:
+    /// Returns how many requests this router may have in flight at all services' endpoints:
     /// at least an equal share of their slots, more while the other routers leave slots free,
     /// and less again when all slots are taken. If slots were divided only by what each router
-    /// has open, any division would persist: one router kept 6 of 2,940 slots at saturation
+    /// has in flight, any division would persist: one router kept 6 of 2,940 slots at saturation
     /// and refused its callers. 0 if no endpoint can be used.
     uint32_t concurrencyLimit(Instant now) const;
 
--- a/include/sequoiagate/Decisions/EndpointSpec.h
+++ b/include/sequoiagate/Decisions/EndpointSpec.h
@@ -39,7 +39,7 @@
 {
     EndpointId endpoint;
     RequestId request;
-    bool succeeded = false; ///< also if the caller hung up
+    bool succeeded = false; ///< also if the caller disconnected
     Interval firstToken{};  ///< 0: no token arrived
     uint64_t tokens = 0;
 };
--- a/include/sequoiagate/Decisions/FairQueue.h
+++ b/include/sequoiagate/Decisions/FairQueue.h
@@ -65,7 +65,7 @@
     /// Removes and returns the request furthest beyond its workspace's share; nullopt if
     /// none waits.
     std::optional<QueueEntry> popLast();
-    /// Removes a request whose caller hung up. \returns whether it waited.
+    /// Removes a request whose caller disconnected. \returns whether it waited.
     bool remove(const RequestId &request);
     /// Replaces the expected cost of a served request by its actual cost.
     void adjustCost(const WorkspaceId &workspace, double expected, double actual, double weight);
--- a/include/sequoiagate/Decisions/PrefillLimit.h
+++ b/include/sequoiagate/Decisions/PrefillLimit.h
@@ -7,9 +7,8 @@
 /// all requests of a burst would start at the same moment: an engine prefills one prompt
 /// after another, and with 75 free slots the last of them gets its first token after 3.4 s
 /// (tenfold burst, p95 without this limit: 8 s when routers considered slots alone, and
-/// 0.76 s instead of 0.35 s with the present endpoint selection). With the limit they wait
-/// in this router's queue instead, where the order is fair and an early refusal is still
-/// possible.
+/// 0.76 s instead of 0.35 s with EndpointSelector). With the limit they wait in this
+/// router's queue instead, where the order is fair and an early refusal is still possible.
 ///
 /// The engines' prefill throughput isn't known and is shared with other routers, so the
 /// limit adapts to it: it grows by one for each limit's worth of first tokens that are on
@@ -42,7 +41,7 @@
     /// \param prefilling requests without a first token when it arrived
     void onFirstToken(Interval latency, uint32_t prefilling, Instant now);
     uint32_t limit() const { return static_cast<uint32_t>(limit_); }
-    /// Requests per second that may start prefill at the present limit; 0 while unknown.
+    /// Requests per second that may start prefill at the current limit; 0 while unknown.
     double startsPerSecond() const;
 
 private:
--- a/lib/Decisions/EndpointSelector.cpp
+++ b/lib/Decisions/EndpointSelector.cpp
@@ -18,7 +18,9 @@
 constexpr double UtilizationSeconds = 0.01;
 /// Cost of a short request in a lane: behind a long prompt it waits seconds.
 constexpr double WrongLaneSeconds = 5.0;
-constexpr double KvPressureSeconds = 0.5;
+/// Cost of an endpoint whose KV memory use has reached kvLimit, where an engine preempts
+/// requests and recomputes them.
+constexpr double KvLimitPenaltySeconds = 0.5;
 /// Assumed share of the prompt that a cached prefix saves; engines don't report it.
 constexpr double CachedPrefixShare = 0.8;
 /// Utilization from which a late first token may be due to other routers' requests that no
@@ -113,7 +115,8 @@
 
 double EndpointSelector::loadSeconds(const Candidate &candidate)
 {
-    // The expected prefill of requests without a first token, and a little for each open stream.
+    // The expected prefill of requests without a first token, and a small cost for each request
+    // in flight.
     constexpr double StreamSeconds = 0.02;
     return secondsOf(candidate.endpoint->health.pendingWork())
            + StreamSeconds * candidate.endpoint->load.ownRequests();
@@ -418,7 +421,7 @@
     seconds +=
             (overflow + ownOverflow) * OverflowSeconds + candidate.utilization * UtilizationSeconds;
     seconds += candidate.local ? 0.0 : roundTripSeconds(endpoint.spec.domain);
-    seconds += endpoint.load.report().kvUsed >= settings_.kvLimit ? KvPressureSeconds : 0.0;
+    seconds += endpoint.load.report().kvUsed >= settings_.kvLimit ? KvLimitPenaltySeconds : 0.0;
     return seconds;
 }
 
@@ -559,7 +562,8 @@
     double reported = 0.0;
     double requests = 0.0;
     double slots = 0.0;
-    double ownElsewhere = 0.0; // open at unusable endpoints; they occupy none of the slots counted
+    // In flight at unusable endpoints; they occupy none of the slots counted.
+    double ownElsewhere = 0.0;
     for (const Endpoint &endpoint : endpoints_) {
         if (usability(endpoint, now) != Usability::Usable) {
             ownElsewhere += endpoint.load.ownRequests();
--- a/unittests/Decisions/AdmissionTest.cpp
+++ b/unittests/Decisions/AdmissionTest.cpp
@@ -322,7 +322,7 @@
 
 TEST(Admission, RemovesWaitingRequestOfCallerThatHungUp)
 {
-    // A caller hangs up while its request waits. The next slot goes to the request after it.
+    // A caller disconnects while its request waits. The next slot goes to the request after it.
     Admission admission(smallRouterSettings());
     for (int i = 0; i < 6; ++i) {
         admission.offer(itemOf("a", i), Start);
--- a/unittests/Decisions/EndpointSelectorTest.cpp
+++ b/unittests/Decisions/EndpointSelectorTest.cpp
@@ -200,8 +200,8 @@
 TEST(EndpointSelector, SpreadsHotPrefixOnlyUpToLoadBound)
 {
     // One prefix makes up all of the load. At its home alone, callers would wait while the
-    // other endpoints idle; spread over all, each would prefill it. 60 open requests over 10
-    // endpoints are 6 each on average, so none may have more than 8.
+    // other endpoints idle; spread over all, each would prefill it. 60 requests in flight over
+    // 10 endpoints are 6 each on average, so none may have more than 8.
     RouterSimulation simulation(10);
     std::map<std::string, int> open;
     for (int i = 0; i < 60; ++i) {
@@ -276,7 +276,7 @@
             EXPECT_FALSE(isRemote) << "request " << i << " left its domain early";
         }
     }
-    EXPECT_GE(remote, 18) << "40 slots are here, 60 requests came";
+    EXPECT_GE(remote, 18) << "40 local slots, 60 requests";
 }
 
 TEST(EndpointSelector, AvoidsEndpointWithoutFreeKvMemory)
@@ -402,14 +402,14 @@
 TEST(EndpointSelector, LimitIsAtLeastAnEqualShare)
 {
     // Ten routers share an idle fleet of 200 slots. When all slots are taken each gets an
-    // equal share, also a router without open requests: otherwise its callers would be
+    // equal share, also a router without requests in flight: otherwise its callers would be
     // refused permanently.
     EndpointSelectorSettings settings;
     settings.routerCount = 10;
     EndpointSelector selector(Here, settings);
     EXPECT_EQ(selector.concurrencyLimit(Start), 0U);
     selector.setEndpoints(fleetOf(10), Start);
-    EXPECT_GE(selector.concurrencyLimit(Start), 100U) << "no other router has open requests";
+    EXPECT_GE(selector.concurrencyLimit(Start), 100U) << "no other router has requests in flight";
     for (int i = 0; i < 10; ++i) {
         selector.onReport(reportOf(i, 20, Start), Start);
     }
@@ -418,14 +418,14 @@
 }
 
 // A prefix is prefilled at its second home although its first home has it cached, because the
-// first has a request or two open and the second none. The request should go to the second home
-// only if the first home's queue takes longer than a prefill.
+// first has a request or two in flight and the second none. The request should go to the second
+// home only if the first home's queue takes longer than a prefill.
 struct PrefixMissCase
 {
     const char *name;
     double prefixMissWeight;
     uint32_t routers;
-    int open; ///< requests of the prefix open at its first home
+    int open; ///< requests of the prefix in flight at its first home
     bool staysAtHome;
 };
 
--- a/unittests/Decisions/LinkLoadTest.cpp
+++ b/unittests/Decisions/LinkLoadTest.cpp
@@ -1,4 +1,5 @@
-/// A host whose link is nearly full: when it sheds callers, what it refuses and when it stops.
+/// A host whose link is nearly full: when callers are sent to other hosts, which requests are
+/// refused, and when shedding ends.
 
 #include <gtest/gtest.h>
 
--- a/unittests/Decisions/LoadsTest.cpp
+++ b/unittests/Decisions/LoadsTest.cpp
@@ -21,13 +21,13 @@
     double maxRefused; ///< share of the requests, after their retries
     double maxRecovery;
     double minHitRate;
-    bool designSize = false; ///< a fleet of the design size instead of today's
+    bool designSize = false; ///< uses FleetSettings' defaults instead of smallFleet()
 };
 
 class FleetUnderLoad : public testing::TestWithParam<LoadCase>
 {};
 
-/// The first user's present fleet.
+/// The first user's fleet, which is smaller than the design size.
 FleetSettings smallFleet()
 {
     FleetSettings fleet;
