--- a/include/sequoiagate/Ledger/AllotmentTable.h
+++ b/include/sequoiagate/Ledger/AllotmentTable.h
@@ -1,8 +1,8 @@
 #ifndef SEQUOIAGATE_LEDGER_ALLOTMENTTABLE_H
 #define SEQUOIAGATE_LEDGER_ALLOTMENTTABLE_H
 
-/// What the store says of how budgets are divided: for each workspace and holder the
-/// tokens that the holder has, or claims. The newest row of a holder counts.
+/// How the budgets are divided among holders, as recorded in the store: for each workspace and
+/// holder, the tokens that the holder owns or claims. Only a holder's newest row counts.
 
 #include <cstdint>
 #include <map>
@@ -16,21 +16,21 @@
 
 namespace sequoiagate {
 
-/// What a holder has of a workspace's budget, and how much of it may be used by when.
+/// A holder's share of a workspace's budget, and an upper bound on its use over time.
 struct Allotment
 {
-    uint64_t tokens = 0;       ///< that it has, or claims
-    uint64_t maxUsed = 0;      ///< of these, when its last batch was composed
-    uint64_t usePerSecond = 0; ///< that may be used beyond that, from then on
+    uint64_t tokens = 0;  ///< owned or claimed
+    uint64_t maxUsed = 0; ///< upper bound on used tokens when the holder's last batch was composed
+    uint64_t usePerSecond = 0; ///< additional tokens that may be used per second from then on
 
-    /// The most that is used \p elapsed after the holder composed its last batch.
+    /// Upper bound on the used tokens \p elapsed after the holder composed its last batch.
     /// \pre elapsed >= 0
-    uint64_t usedAfter(Interval elapsed) const;
+    uint64_t maxUsedAfter(Interval elapsed) const;
 
     friend bool operator==(const Allotment &, const Allotment &) = default;
 };
 
-/// One holder's part of one workspace's budget, as a row of the store.
+/// A row of the store: one holder's share of one workspace's budget.
 struct AllotmentRow
 {
     WorkspaceId workspace;
@@ -38,8 +38,8 @@
     Allotment allotment;
 };
 
-/// A row's value with the place where it stands.
-struct WrittenAllotment
+/// The value of a row and its offset in the store.
+struct StoredAllotment
 {
     Allotment allotment;
     uint64_t offset = 0;
@@ -49,28 +49,28 @@
 class AllotmentTable
 {
 public:
-    /// Takes a row in. One that stands before the holder's known row is ignored, so rows
-    /// may come twice and out of order.
+    /// Applies a row. A row with a lower offset than the holder's known row is ignored, so rows may
+    /// be duplicated and out of order.
     void set(const AllotmentRow &row, uint64_t offset);
-    /// Tokens that all holders together have or claim.
+    /// Tokens that all holders together own or claim.
     uint64_t allotted(const WorkspaceId &workspace) const;
-    /// Tokens that all holders together have used at most, as their rows say.
+    /// Upper bound on the tokens used by all holders together, according to their rows.
     uint64_t used(const WorkspaceId &workspace) const;
-    std::optional<WrittenAllotment> of(const WorkspaceId &workspace,
-                                       const Incarnation &holder) const;
+    std::optional<StoredAllotment> find(const WorkspaceId &workspace,
+                                        const Incarnation &holder) const;
 
-    /// What \p holder has, by workspace.
+    /// The allotments of \p holder, one row per workspace.
     std::vector<AllotmentRow> rowsOf(const Incarnation &holder) const;
 
 private:
-    struct Division
+    struct WorkspaceAllotments
     {
         uint64_t total = 0;
         uint64_t used = 0;
-        std::map<Incarnation, WrittenAllotment> holders;
+        std::map<Incarnation, StoredAllotment> holders;
     };
 
-    std::unordered_map<WorkspaceId, Division> divisions_;
+    std::unordered_map<WorkspaceId, WorkspaceAllotments> workspaces_;
 };
 
 } // namespace sequoiagate
--- a/include/sequoiagate/Ledger/DemandRate.h
+++ b/include/sequoiagate/Ledger/DemandRate.h
@@ -1,7 +1,7 @@
 #ifndef SEQUOIAGATE_LEDGER_DEMANDRATE_H
 #define SEQUOIAGATE_LEDGER_DEMANDRATE_H
 
-/// How fast tokens are drawn, as an exponentially weighted moving average.
+/// The rate at which tokens are reserved, as an exponentially weighted moving average.
 
 #include <cstdint>
 
@@ -13,14 +13,14 @@
 class DemandRate
 {
 public:
-    /// \pre timeConstant > 0: what was drawn that long ago weighs 1/e.
+    /// \pre timeConstant > 0: tokens reserved that long ago have a weight of 1/e.
     explicit DemandRate(Interval timeConstant) : timeConstant_(timeConstant) {}
 
     void add(uint64_t tokens, Instant now);
-    /// Takes back what was drawn and then not used.
+    /// Subtracts tokens that were reserved but not used.
     void remove(uint64_t tokens, Instant now);
-    /// Tokens that \p span will ask for at the present rate.
-    uint64_t over(Interval span, Instant now) const;
+    /// Tokens that will be needed during \p span at the current rate.
+    uint64_t expectedTokens(Interval span, Instant now) const;
 
 private:
     double weightedAt(Instant now) const;
--- a/include/sequoiagate/Ledger/GrantAccount.h
+++ b/include/sequoiagate/Ledger/GrantAccount.h
@@ -1,8 +1,8 @@
 #ifndef SEQUOIAGATE_LEDGER_GRANTACCOUNT_H
 #define SEQUOIAGATE_LEDGER_GRANTACCOUNT_H
 
-/// One grant in its holder's books: what may be spent of it now. The rules of
-/// what a holder may do to a grant stand here; when to do it is GrantHolder's.
+/// A holder's local accounting of one grant: how much of it may be spent now. Implements the rules
+/// for what a holder may do to a grant; GrantHolder decides when to do it.
 
 #include <cstdint>
 #include <optional>
@@ -18,10 +18,10 @@
 {
 public:
     enum class Phase {
-        Claimed, ///< the claim isn't read back yet: nothing may be spent
+        Claimed, ///< the claim isn't confirmed by the log yet: nothing may be spent
         Open,
-        Closing, ///< the close is on its way: nothing more may be spent
-        Ended,   ///< sealed or attested: what was received may still be spent
+        Closing, ///< the close is pending: nothing more may be spent
+        Ended,   ///< sealed or attested: the tokens received until then may still be spent
     };
 
     GrantAccount(GrantId id, uint64_t tokens, Incarnation witness, Instant now);
@@ -35,54 +35,55 @@
     uint64_t returned() const { return returned_; }
     uint64_t spent() const { return spent_; }
     uint64_t reserved() const { return reserved_; }
-    bool witnessChangePending() const { return nextWitness_.has_value(); }
+    bool witnessChangePending() const { return pendingWitness_.has_value(); }
 
-    /// The most that may ever be spent with what is known now.
+    /// The maximum that may be spent in total, by what is known now.
     uint64_t spendable() const;
-    /// Spendable, not reserved nor spent.
+    /// Spendable tokens that are neither reserved nor spent.
     uint64_t available() const;
-    /// Not yet spendable, but the witness may sign it.
+    /// Tokens that aren't spendable yet but may be signed by the witness.
     uint64_t unsignedTokens() const;
-    /// All that isn't reserved nor spent, signed or not.
-    uint64_t left() const;
-    /// May windows be taken from the present witness?
-    bool takesWindows() const;
-    /// Has it nothing left that could be spent, and nothing reserved?
+    /// All tokens that are neither reserved nor spent, signed or not.
+    uint64_t unreserved() const;
+    /// Whether windows of the current witness are accepted.
+    bool acceptsWindows() const;
+    /// Whether nothing is reserved and nothing is left to spend.
     bool exhausted() const;
 
     /// \pre tokens <= available()
     void draw(uint64_t tokens);
-    /// Ends a draw: \p spentTokens of it are gone.
+    /// Ends a reservation of \p drawn tokens, of which \p spentTokens were spent.
     void settle(uint64_t drawn, uint64_t spentTokens);
-    /// \returns whether the window was taken. \p evenWhileChanging is what the
-    /// safeguard holderStopsWindowsFirst forbids.
-    bool acceptWindow(const Incarnation &witness, uint64_t signedTotal, bool evenWhileChanging);
+    /// \returns whether the window was accepted. \p evenWhileChanging accepts it during a change of
+    /// witness, which the safeguard holderStopsWindowsFirst forbids.
+    bool acceptWindow(const Incarnation &witness, uint64_t signedTotal, bool allowDuringChange);
 
-    /// The most that can be given up without touching what is reserved or what the
-    /// log lets no return go under.
+    /// The maximum that can be relinquished: neither reserved tokens nor tokens below the minimum
+    /// that the log accepts for a return.
     uint64_t returnable() const;
-    /// Stops spending \p tokens of it for ever. The caller appends the return next.
-    /// \pre tokens <= returnable()
+    /// Permanently stops spending \p tokens of the grant. The caller appends the return next.
     void relinquish(uint64_t tokens);
-    /// Stops taking windows; spending stops at what was received, which of an
-    /// unwitnessed grant is what is drawn and \p allowance. The caller appends the
-    /// rewitness with received() next. \pre phase() == Open, !witnessChanging()
+    /// Stops accepting windows and limits spending to the received tokens; for a grant without a
+    /// witness these are the tokens reserved or spent plus \p allowance. The caller appends the
+    /// rewitness with received() next.
+    /// \pre phase() == Open, !witnessChangePending()
     void changeWitness(const Incarnation &next, uint64_t allowance);
-    /// Stops spending for ever. The caller appends the close with spent() next.
+    /// Permanently stops spending. The caller appends the close with spent() next.
     /// \pre reserved() == 0
     void close();
-    /// Takes over what the log says of the grant; nullptr: nothing (any more).
+    /// Updates the account from the grant's state in the log; nullptr: the log doesn't have the
+    /// grant yet or any more.
     void updateFromLog(const LedgerGrant *grant);
 
 private:
     GrantId id_;
     Phase phase_ = Phase::Claimed;
     Incarnation witness_;
-    std::optional<Incarnation> nextWitness_;
+    std::optional<Incarnation> pendingWitness_;
     Instant claimedAt_;
-    uint64_t cap_ = 0;      ///< granted, less what was given up
-    uint64_t received_ = 0; ///< the highest total that a window brought, with the base
-    uint64_t base_ = 0;     ///< what the log lets no return go under
+    uint64_t cap_ = 0;      ///< granted, less what was relinquished
+    uint64_t received_ = 0; ///< the highest total of any window, including the base
+    uint64_t base_ = 0;     ///< the log accepts no return that leaves less than this
     uint64_t returned_ = 0;
     uint64_t spent_ = 0;
     uint64_t reserved_ = 0;
--- a/include/sequoiagate/Ledger/GrantActions.h
+++ b/include/sequoiagate/Ledger/GrantActions.h
@@ -1,8 +1,8 @@
 #ifndef SEQUOIAGATE_LEDGER_GRANTACTIONS_H
 #define SEQUOIAGATE_LEDGER_GRANTACTIONS_H
 
-/// What the grant state machines ask their owner to do. The owner does it in
-/// order; each may be lost, late or doubled without harm.
+/// The actions that the grant state machines request from their owner. The owner performs them in
+/// order; each may be lost, delayed or duplicated without harm.
 
 #include <cstdint>
 #include <variant>
@@ -14,14 +14,14 @@
 
 namespace sequoiagate {
 
-/// Append this body to the workspace's ledger stream. The owner sets writer and
-/// sequence, and sends it again under the same pair until it is read back.
+/// Append this body to the workspace's ledger stream. The owner sets writer and sequence, and
+/// resends it with the same pair until it is read back from the log.
 struct AppendAction
 {
     wire::Record record;
 };
 
-/// Ask \p witness for a window; give its answer to GrantHolder::onWindow.
+/// Request a window from \p witness; pass its response to GrantHolder::onWindow.
 struct RequestWindowAction
 {
     Incarnation witness;
--- a/include/sequoiagate/Ledger/GrantHolder.h
+++ b/include/sequoiagate/Ledger/GrantHolder.h
@@ -1,9 +1,8 @@
 #ifndef SEQUOIAGATE_LEDGER_GRANTHOLDER_H
 #define SEQUOIAGATE_LEDGER_GRANTHOLDER_H
 
-/// One workspace's escrow in one keeper: claims grants from the log, takes
-/// windows from their witnesses, and reserves and settles requests out of the
-/// windows. Pure: (event, now) -> actions.
+/// A keeper's escrow for one workspace: claims grants from the log, obtains windows from their
+/// witnesses, and reserves and settles requests within the windows. Pure: (event, now) -> actions.
 
 #include <cstdint>
 #include <map>
@@ -33,7 +32,7 @@
     uint64_t tokens = 0;
 };
 
-/// Tokens set aside for a request: nothing beyond their sum may be generated.
+/// Tokens reserved for a request, which may not generate more than their sum.
 struct ReservationDraws
 {
     ReservationId id;
@@ -41,7 +40,7 @@
     std::vector<Draw> draws;
 };
 
-/// Not now, but an answer from the log or a witness is under way: ask again when
+/// The tokens aren't available yet, but a response from the log or a witness is pending: retry when
 /// the holder has changed, at the latest at \p until.
 struct ReservePending
 {
@@ -57,109 +56,109 @@
     GrantHolder(WorkspaceId workspace, Incarnation self, GrantSettings settings,
                 GrantSafeguards safeguards = {});
 
-    /// Sets \p tokens aside if the windows cover them. \p witnesses are keepers
-    /// believed live, best first: those of the own failure domain before others, since
-    /// a partition separates from the others, and in an order that is stable, since a
-    /// better one takes over. None: grants are claimed without a witness.
-    /// The same id again gives the same draws.
+    /// Reserves \p tokens if the windows cover them. \p witnesses are the keepers believed to be
+    /// alive, in order of preference: those of the same failure domain first, since a partition
+    /// separates the holder from the others, and in a stable order, since a preferred one replaces
+    /// the current witness. If it is empty, grants are claimed without a witness.
+    /// Repeating the same id returns the same draws.
     ReserveOutcome reserve(const ReservationId &id, uint64_t tokens,
                            const std::vector<Incarnation> &witnesses, const LedgerFold &fold,
                            bool logReachable, Instant now);
-    /// Ends a reservation: \p spent of it is gone, the rest can be drawn again.
-    /// \returns what was drawn, by grant, for the bill. Unknown or ended: empty.
+    /// Ends a reservation: \p spent of it is spent, the rest becomes available again.
+    /// \returns the spent tokens by grant, for the bill; empty if the reservation is unknown or has
+    /// ended.
     /// \pre spent <= the reservation's tokens
     std::vector<Draw> settle(const ReservationId &id, uint64_t spent, Instant now);
 
-    /// The witness signed up to \p signedTotal of \p grant, in all.
+    /// The witness has signed \p signedTotal tokens of \p grant in total.
     void onWindow(const GrantId &grant, const Incarnation &witness, uint64_t signedTotal,
                   Instant now);
-    /// The witness answered that it doesn't sign. It isn't asked again for this grant
-    /// if \p final; else it is asked later.
+    /// The witness refused to sign. If \p final, it isn't asked again for this grant; otherwise it
+    /// is asked again later.
     void onWindowRefused(const GrantId &grant, const Incarnation &witness, bool final, Instant now);
-    /// The fold moved on: grants may have been accepted, sealed, rewitnessed.
+    /// The fold has advanced: grants may have been accepted, sealed or rewitnessed.
     void onFold(const LedgerFold &fold, Instant now);
-    /// Names another witness for the grants of \p witness, the first of \p others
-    /// that didn't fail us; later, if the log is out of reach now.
+    /// Replaces \p witness as the witness of its grants by the first of \p others that hasn't
+    /// failed; if the log is unreachable, the replacement is made later.
     void onWitnessSuspected(const Incarnation &witness, const std::vector<Incarnation> &others,
                             Instant now);
-    /// Timers: claims ahead of need, asks for windows, returns what lies idle.
+    /// Timers: claims ahead of demand, requests windows, returns idle tokens.
     void onTick(const std::vector<Incarnation> &witnesses, const LedgerFold &fold,
                 bool logReachable, Instant now);
-    /// Planned stop: closes every grant with what was spent, once no reservation is
-    /// open. \returns whether nothing is left to do but the appends.
+    /// Planned stop: closes every grant with its spent tokens, once no reservation is open.
+    /// \returns whether nothing remains to be done but the appends.
     bool drain(Instant now);
 
-    /// What to do since the last call, in order.
+    /// The actions requested since the last call, in order.
     GrantActions takeActions();
-    /// When onTick next has something to do.
+    /// The time at which onTick next has something to do.
     Instant nextDeadline() const { return nextTick_; }
 
     uint64_t reservedTokens() const;
-    uint64_t availableTokens() const; ///< in windows, not reserved nor spent
-    /// What of its grants is neither reserved nor spent, signed or not.
+    uint64_t availableTokens() const; ///< in windows, neither reserved nor spent
+    /// Tokens of its grants that are neither reserved nor spent, signed or not.
     uint64_t unreservedTokens() const;
     std::vector<wire::HeldGrant> describe() const;
 
 private:
-    /// A claim that isn't read back for so long doesn't hold up another one. It may
-    /// still be accepted later, and is then used.
-    static constexpr Interval ClaimGivenUpAfter = std::chrono::seconds(10);
+    /// A claim that isn't confirmed by the log within this time no longer delays another one. It
+    /// may still be accepted later, and is then used.
+    static constexpr Interval ClaimTimeout = std::chrono::seconds(10);
 
-    /// A question to a witness that isn't answered yet, or went without an answer.
-    struct Ask
+    /// The state of the window requests to a grant's witness.
+    struct WindowRequest
     {
-        Instant until = Never; ///< Never: none under way
-        int failures = 0;      ///< in a row
+        Instant deadline = Never; ///< Never: none is pending
+        int failures = 0;         ///< consecutive
     };
-    struct Held
+    struct HeldGrant
     {
         GrantAccount account;
-        Ask ask;
-        Instant returnAgainAt{};
-        bool refusedForGood = false; ///< its witness won't sign any more
+        WindowRequest windowRequest;
+        Instant nextReturnAt{};
+        bool permanentlyRefused = false; ///< the witness will not sign any more
     };
-    /// What one call knows of the world around the holder.
-    struct Surroundings
+    /// The holder's environment during one call.
+    struct Context
     {
         const std::vector<Incarnation> &witnesses;
         const LedgerFold &fold;
         bool logReachable = false;
         Instant now;
     };
-    struct Waiting
+    struct PendingRequest
     {
         uint64_t tokens = 0;
-        Instant until;
+        Instant deadline;
     };
 
     ReservationDraws draw(const ReservationId &id, uint64_t tokens);
-    ReserveOutcome waitOrRefuse(const ReservationId &id, uint64_t tokens,
-                                const Surroundings &around);
-    bool answerUnderWay(const Surroundings &around) const;
-    Verdict refusal(uint64_t tokens, const Surroundings &around) const;
-    bool nothingRemains(uint64_t tokens, const Surroundings &around) const;
-    /// What this holder has, or can still claim, and nobody has reserved.
+    ReserveOutcome waitOrRefuse(const ReservationId &id, uint64_t tokens, const Context &context);
+    bool isResponsePending(const Context &context) const;
+    Verdict makeRefusal(uint64_t tokens, const Context &context) const;
+    bool isBudgetExhausted(uint64_t tokens, const Context &context) const;
+    /// Tokens that this holder has or can still claim, and that nobody has reserved.
     uint64_t remainingTokens(const LedgerBudget &budget, Instant now) const;
-    void askForWindows(uint64_t tokens, Instant now);
-    void claimFor(uint64_t need, const Surroundings &around);
+    void requestWindows(uint64_t tokens, Instant now);
+    void submitClaim(uint64_t need, const Context &context);
     uint64_t claimSize(uint64_t need, bool witnessed, uint64_t remainder, Instant now) const;
     GrantId nextGrantId();
     uint64_t windowTokens(Instant now) const;
-    uint64_t claimsUnderWay(Instant now) const;
+    uint64_t pendingClaimTokens(Instant now) const;
     uint64_t unsignedTokens() const;
     std::optional<Incarnation> chooseWitness(const std::vector<Incarnation> &candidates,
                                              const Incarnation &except) const;
-    void replaceWitness(Held &held, const Incarnation &next, Instant now);
-    void notePreferred(const Surroundings &around);
-    void replaceWitnesses(const Surroundings &around);
-    void claimAhead(const Surroundings &around);
-    void returnIdle(const Surroundings &around);
-    void giveBack(Held &held, uint64_t tokens, Instant now);
-    void close(Held &held);
+    void replaceWitness(HeldGrant &held, const Incarnation &next, Instant now);
+    void updatePreferredWitness(const Context &context);
+    void replaceWitnesses(const Context &context);
+    void claimAheadOfDemand(const Context &context);
+    void returnIdleTokens(const Context &context);
+    void returnTokens(HeldGrant &held, uint64_t tokens, Instant now);
+    void close(HeldGrant &held);
     void closeExhausted();
-    void forgetWaiting(Instant now);
-    void expireAsks(Instant now);
-    Held *find(const GrantId &grant);
+    void removeExpiredRequests(Instant now);
+    void expireWindowRequests(Instant now);
+    HeldGrant *find(const GrantId &grant);
     wire::Record &append();
 
     WorkspaceId workspace_;
@@ -167,17 +166,17 @@
     GrantSettings settings_;
     GrantSafeguards safeguards_;
     GrantActions actions_;
-    std::vector<Held> grants_; ///< oldest first; the oldest is drawn on first
+    std::vector<HeldGrant> grants_; ///< oldest first; the oldest is drawn on first
     std::unordered_map<ReservationId, ReservationDraws> reservations_;
-    std::map<ReservationId, Waiting> waiting_;
-    std::set<Incarnation> suspected_;      ///< witnesses believed dead
-    std::set<Incarnation> avoided_;        ///< witnesses that gave us up
-    std::optional<Incarnation> preferred_; ///< the best witness of late
-    Instant preferredFrom_ = Never;        ///< when it takes over from others
-    DemandRate longRate_;
-    DemandRate shortRate_;
+    std::map<ReservationId, PendingRequest> pendingRequests_;
+    std::set<Incarnation> suspectedWitnesses_;    ///< believed to have failed
+    std::set<Incarnation> excludedWitnesses_;     ///< have stopped signing for this holder
+    std::optional<Incarnation> preferredWitness_; ///< the most recent best witness
+    Instant preferredEffectiveAt_ = Never;        ///< when it replaces other witnesses
+    DemandRate grantDemand_;
+    DemandRate windowDemand_;
     uint64_t grantsClaimed_ = 0;
-    Instant claimAgainAt_{};
+    Instant nextClaimAt_{};
     Instant nextTick_{};
     bool logReachable_ = false;
     bool draining_ = false;
--- a/include/sequoiagate/Ledger/GrantSettings.h
+++ b/include/sequoiagate/Ledger/GrantSettings.h
@@ -1,7 +1,7 @@
 #ifndef SEQUOIAGATE_LEDGER_GRANTSETTINGS_H
 #define SEQUOIAGATE_LEDGER_GRANTSETTINGS_H
 
-/// What the users set about grants.
+/// Settings for grants.
 
 #include <cstdint>
 
@@ -9,23 +9,24 @@
 
 namespace sequoiagate {
 
-/// In which the two users differ. docs/Settings.md gives the defaults' reasons.
+/// The settings in which the two users differ. docs/Settings.md explains the defaults.
 struct GrantSettings
 {
     Interval grantHorizon = std::chrono::hours(2);     ///< demand that one grant should cover
     Interval windowHorizon = std::chrono::seconds(30); ///< demand that one window should cover
-    Interval logSilentAfter = std::chrono::seconds(5); ///< when the witness starts to open up
-    Interval openFullAfter = std::chrono::minutes(5);  ///< when it has opened to the whole
-    uint64_t minimumGrant = 20'000;                    ///< tokens
-    double shareOfRemainder = 0.25; ///< the most one claim takes of what is unallocated
-    /// Demand that a grant without a witness should cover. Nobody knows what a dead
-    /// holder spent of one, so that all of it is in doubt until an operator attests.
+    Interval logSilentAfter =
+            std::chrono::seconds(5); ///< when the witness starts to widen its windows
+    Interval openFullAfter = std::chrono::minutes(5); ///< when the window covers the whole grant
+    uint64_t minimumGrant = 20'000;                   ///< tokens
+    double shareOfRemainder = 0.25; ///< maximum part of the unallocated tokens that one claim takes
+    /// Demand that a grant without a witness should cover. What a failed holder spent of it is
+    /// unknown, so all of it is in doubt until an operator attests.
     Interval unwitnessedHorizon = std::chrono::minutes(5);
-    Interval askTimeout = std::chrono::milliseconds(500); ///< for a window
+    Interval windowRequestTimeout = std::chrono::milliseconds(500); ///< per request for a window
     Interval claimPause = std::chrono::seconds(1); ///< after a refused claim, or between returns
     /// How long a request may wait for the log or a witness before it is refused.
     Interval maxReserveWait = std::chrono::seconds(2);
-    Interval comeBackAfter = std::chrono::seconds(5); ///< told with a refusal
+    Interval retryAfter = std::chrono::seconds(5); ///< sent with a refusal
 };
 
 } // namespace sequoiagate
--- a/include/sequoiagate/Ledger/GrantWitness.h
+++ b/include/sequoiagate/Ledger/GrantWitness.h
@@ -1,8 +1,8 @@
 #ifndef SEQUOIAGATE_LEDGER_GRANTWITNESS_H
 #define SEQUOIAGATE_LEDGER_GRANTWITNESS_H
 
-/// The witness of other keepers' grants: signs spending windows, counts what it
-/// signed, and seals a grant whose holder it believes dead. Pure.
+/// The witness of other keepers' grants: signs spending windows, counts the tokens it has signed,
+/// and seals a grant whose holder it believes to have failed. Pure.
 
 #include <cstdint>
 #include <set>
@@ -18,7 +18,8 @@
 
 namespace sequoiagate {
 
-using SignOutcome = std::variant<uint64_t, Verdict>; ///< signed in all, or why not
+using SignOutcome =
+        std::variant<uint64_t, Verdict>; ///< tokens signed in total, or the reason for the refusal
 
 /// Not thread safe.
 class GrantWitness
@@ -26,40 +27,40 @@
 public:
     GrantWitness(Incarnation self, GrantSettings settings, GrantSafeguards safeguards = {});
 
-    /// Signs up to \p want more than \p received of a grant.
-    /// \param logHeardAt when this keeper last heard from the log: the longer ago,
-    /// the wider the window.
-    /// A refusal without a time to come back is final for this witness.
+    /// Signs up to \p want tokens of a grant beyond \p received.
+    /// \param logHeardAt when this keeper last received data from the log: the longer ago, the
+    /// wider the window.
+    /// A refusal without a time to retry is final for this witness.
     SignOutcome sign(const GrantId &grant, const Incarnation &holder, uint64_t received,
                      uint64_t want, const LedgerFold &fold, Instant logHeardAt, Instant now);
-    /// Stops signing for \p holder for ever, then asks to seal its grants.
+    /// Permanently stops signing for \p holder, then requests seals for its grants.
     void onHolderSuspected(const Incarnation &holder, const LedgerFold &fold, Instant now);
-    /// Forgets grants that ended, and seals those that a suspected holder names us
-    /// witness of.
+    /// Removes grants that have ended, and seals those for which a suspected holder has named this
+    /// keeper as the witness.
     void onFold(const LedgerFold &fold, Instant now);
 
     GrantActions takeActions();
 
-    /// What was signed of \p grant in all, with the base; 0: nothing known.
+    /// Tokens of \p grant signed in total, including the base; 0 if nothing is known.
     uint64_t signedTokens(const GrantId &grant) const;
 
 private:
-    /// What this witness knows of a grant that isn't in the log.
-    struct Signed
+    /// This witness's state of a grant, which the log doesn't hold.
+    struct SignedGrant
     {
         uint64_t total = 0;
-        bool sealSent = false; ///< since this witness last became the grant's
+        bool sealSent = false; ///< since this keeper last became the grant's witness
     };
 
-    uint64_t openedTokens(uint64_t unsignedTokens, Interval silence) const;
+    uint64_t outageWindowTokens(uint64_t unsignedTokens, Interval sinceLogHeard) const;
     void seal(const LedgerGrant &grant);
 
     Incarnation self_;
     GrantSettings settings_;
     GrantSafeguards safeguards_;
     GrantActions actions_;
-    std::unordered_map<GrantId, Signed> grants_;
-    std::set<Incarnation> stopped_; ///< holders that nothing is signed for any more
+    std::unordered_map<GrantId, SignedGrant> grants_;
+    std::set<Incarnation> stoppedHolders_; ///< nothing is signed for these any more
 };
 
 } // namespace sequoiagate
--- a/include/sequoiagate/Ledger/LedgerFold.h
+++ b/include/sequoiagate/Ledger/LedgerFold.h
@@ -1,9 +1,9 @@
 #ifndef SEQUOIAGATE_LEDGER_LEDGERFOLD_H
 #define SEQUOIAGATE_LEDGER_LEDGERFOLD_H
 
-/// The deterministic fold of a ledger stream: budgets, grants, bills and run
-/// claims. Two folds at the same offset hold the same state. Every rule that
-/// keeps spend within budget is decided here, by the log's order alone.
+/// The deterministic fold of a ledger stream: budgets, grants, bills and run claims. Two folds at
+/// the same offset hold the same state. Every rule that keeps spending within the budget is decided
+/// here, by the order of the log alone.
 
 #include <cstdint>
 #include <optional>
@@ -20,30 +20,30 @@
 
 namespace sequoiagate {
 
-/// What the fold did with a record.
+/// The outcome of folding a record.
 enum class FoldOutcome {
     Accepted,
-    Refused,   ///< a rule was not met; the record has no effect
+    Refused,   ///< a rule was violated; the record has no effect
     Duplicate, ///< this (writer, sequence) or a later one of the writer was folded before
 };
 
 struct FoldResult
 {
     FoldOutcome outcome = FoldOutcome::Refused;
-    std::string reason;        ///< for people; empty when accepted
-    uint64_t refundTokens = 0; ///< what went back to the pool
+    std::string reason;        ///< human-readable; empty if accepted
+    uint64_t refundTokens = 0; ///< tokens returned to the pool
 };
 
-/// A grant as the log knows it.
+/// The state of a grant according to the log.
 struct LedgerGrant
 {
     GrantId id;
     WorkspaceId workspace;
     uint64_t tokens = 0; ///< granted, less what was returned
     Incarnation holder;
-    Incarnation witness; ///< empty: unwitnessed
-    /// What the present witness counts from; of an ended grant, what of it counts as
-    /// spent.
+    Incarnation witness; ///< empty: no witness
+    /// The total from which the current witness counts; for an ended grant, the tokens that count
+    /// as spent.
     uint64_t baseSigned = 0;
     bool ended = false;
 };
@@ -53,7 +53,7 @@
     uint64_t total = 0;     ///< prepaid, under configVersion
     uint64_t allocated = 0; ///< debited for grants, less refunds; may exceed a lowered total
     uint64_t configVersion = 0;
-    uint64_t unmetTokens = 0; ///< tokens that refused claims asked for since the last accepted one
+    uint64_t unmetTokens = 0; ///< tokens requested by refused claims since the last accepted one
     uint64_t billed = 0;
 
     uint64_t remainder() const { return total > allocated ? total - allocated : 0; }
@@ -66,24 +66,23 @@
     std::optional<wire::RunOutcome> outcome;
     uint64_t offset = 0;
 
-    /// Its claimer will never send the call: another claim may take the key.
+    /// The claimer will never send the call, so another claim may take the key.
     bool keyAvailable() const { return outcome && outcome->execution() == wire::NOT_RUN; }
 };
 
-/// Where a reader may start: thrown by requireNoGap.
+/// Thrown by requireNoGap.
 class LedgerGapError : public std::runtime_error
 {
 public:
     using std::runtime_error::runtime_error;
 };
 
-/// Refuses a start over a gap: records between what is folded and the oldest
-/// record that the log still keeps are lost to this reader, so that its view of
-/// what is spent would be too low. Thread safe.
+/// Refuses to start across a gap: records between the folded ones and the oldest record in the log
+/// are lost to this reader, so it would underestimate what is spent. Thread safe.
 /// \throws LedgerGapError if \p nextOffset < \p oldestKept.
 void requireNoGap(uint64_t nextOffset, uint64_t oldestKept);
 
-/// Not thread safe: one owner, or a lock around it.
+/// Not thread safe: requires a single owner or a lock.
 class LedgerFold
 {
 public:
@@ -95,36 +94,36 @@
 
     uint64_t nextOffset() const { return nextOffset_; }
 
-    /// nullptr: unknown. Pointers hold until the next apply or restore.
+    /// nullptr if unknown. Pointers are valid until the next apply or restore.
     const LedgerBudget *budget(const WorkspaceId &workspace) const;
-    /// nullptr: never accepted, or ended so long ago that it is forgotten.
+    /// nullptr if never accepted, or if it ended so long ago that it was removed.
     const LedgerGrant *grant(const GrantId &grant) const;
     const LedgerRun *run(const WorkspaceId &workspace, const RunKey &key) const;
     bool billed(const WorkspaceId &workspace, const RequestId &request) const;
-    /// Was the claim of \p grant refused of late? Only the latest
-    /// RefusedClaimsKept of a budget are known.
+    /// Whether the claim of \p grant was refused recently. Only the latest RefusedClaimsKept of a
+    /// budget are known.
     bool claimRefused(const WorkspaceId &workspace, const GrantId &grant) const;
-    /// Grants of \p workspace that aren't ended.
+    /// Grants of \p workspace that haven't ended.
     std::vector<const LedgerGrant *> grantsOf(const WorkspaceId &workspace) const;
-    /// Grants not ended that \p incarnation holds, or that it is witness of.
+    /// Grants that haven't ended and of which \p incarnation is the holder, or the witness.
     std::vector<const LedgerGrant *> grantsHeldBy(const Incarnation &incarnation) const;
     std::vector<const LedgerGrant *> grantsWitnessedBy(const Incarnation &incarnation) const;
-    /// Has (writer, sequence) been folded, whatever came of it?
+    /// Whether (writer, sequence) has been folded, with any outcome.
     bool folded(const Incarnation &writer, uint64_t sequence) const;
 
-    /// The state as a checkpoint: equal states give equal bytes.
+    /// The state as a checkpoint: equal states produce equal bytes.
     wire::LedgerState checkpoint() const;
-    /// Replaces all state. Used at start and over a retention gap.
+    /// Replaces all state. Used at start and across a retention gap.
     /// \pre state.offset() >= nextOffset(): a reader never goes back.
     void restore(const wire::LedgerState &state);
 
-    /// How many refused claims and ended grants a budget remembers. Part of the
-    /// fold: two readers that differ here would differ in their checkpoints.
+    /// Number of refused claims and of ended grants kept per budget. Part of the fold: two readers
+    /// with different values would produce different checkpoints.
     static constexpr std::size_t RefusedClaimsKept = 16;
     static constexpr std::size_t EndedGrantsKept = 64;
 
 private:
-    /// A budget with the grants that belong to it.
+    /// A budget with its grants.
     struct BudgetEntry
     {
         LedgerBudget budget;
@@ -154,7 +153,7 @@
     FoldResult applyBody(const wire::Record &record, uint64_t offset);
     FoldResult applyFunding(const wire::Funding &funding);
     FoldResult applyClaim(const wire::GrantClaim &claim, const Incarnation &writer);
-    FoldResult applyReturn(const wire::GrantReturn &giveBack, const Incarnation &writer);
+    FoldResult applyReturn(const wire::GrantReturn &grantReturn, const Incarnation &writer);
     FoldResult applySeal(const wire::GrantSeal &seal, const Incarnation &writer);
     FoldResult applyRewitness(const wire::GrantRewitness &change, const Incarnation &writer);
     FoldResult applyClose(const wire::GrantClose &close, const Incarnation &writer);
@@ -164,16 +163,16 @@
                              uint64_t offset);
     FoldResult applyRunOutcome(const wire::RunOutcome &outcome);
 
-    FoldResult refuseClaim(BudgetEntry &entry, const wire::GrantClaim &claim, std::string why);
-    /// Ends a grant of which at most \p used may have been spent; the rest goes back.
+    FoldResult refuseClaim(BudgetEntry &entry, const wire::GrantClaim &claim, std::string reason);
+    /// Ends a grant of which at most \p used may have been spent, and refunds the rest.
     FoldResult endGrant(LedgerGrant &grant, uint64_t used);
-    LedgerGrant *openGrant(const std::string &id);
+    LedgerGrant *findOpenGrant(const std::string &id);
     void addGrant(BudgetEntry &entry, LedgerGrant grant);
     void index(const LedgerGrant &grant);
     void unindex(const LedgerGrant &grant);
-    void forgetOldest(BudgetEntry &entry);
-    std::vector<const LedgerGrant *> lookUp(const GrantIndex &index,
-                                            const Incarnation &incarnation) const;
+    void trimEndedGrants(BudgetEntry &entry);
+    std::vector<const LedgerGrant *> grantsIn(const GrantIndex &index,
+                                              const Incarnation &incarnation) const;
     wire::BudgetState budgetState(const WorkspaceId &workspace, const BudgetEntry &entry) const;
     void restoreBudget(const wire::BudgetState &state);
 
--- a/lib/Ledger/AllotmentTable.cpp
+++ b/lib/Ledger/AllotmentTable.cpp
@@ -5,9 +5,9 @@
 
 namespace sequoiagate {
 
-uint64_t Allotment::usedAfter(Interval elapsed) const
+uint64_t Allotment::maxUsedAfter(Interval elapsed) const
 {
-    // Rounded up, and bounded before it is a whole number again.
+    // Rounded up, and limited before the conversion to an integer.
     const double seconds = std::chrono::duration<double>(elapsed).count();
     const double more = std::ceil(static_cast<double>(usePerSecond) * seconds);
     const uint64_t left = tokens - std::min(tokens, maxUsed);
@@ -19,9 +19,9 @@
 
 void AllotmentTable::set(const AllotmentRow &row, uint64_t offset)
 {
-    Division &division = divisions_[row.workspace];
+    WorkspaceAllotments &division = workspaces_[row.workspace];
     const auto [found, added] = division.holders.try_emplace(row.holder);
-    WrittenAllotment &known = found->second;
+    StoredAllotment &known = found->second;
     if (!added && offset <= known.offset) {
         return;
     }
@@ -33,21 +33,21 @@
 
 uint64_t AllotmentTable::allotted(const WorkspaceId &workspace) const
 {
-    const auto found = divisions_.find(workspace);
-    return found == divisions_.end() ? 0 : found->second.total;
+    const auto found = workspaces_.find(workspace);
+    return found == workspaces_.end() ? 0 : found->second.total;
 }
 
 uint64_t AllotmentTable::used(const WorkspaceId &workspace) const
 {
-    const auto found = divisions_.find(workspace);
-    return found == divisions_.end() ? 0 : found->second.used;
+    const auto found = workspaces_.find(workspace);
+    return found == workspaces_.end() ? 0 : found->second.used;
 }
 
-std::optional<WrittenAllotment> AllotmentTable::of(const WorkspaceId &workspace,
-                                                   const Incarnation &holder) const
+std::optional<StoredAllotment> AllotmentTable::find(const WorkspaceId &workspace,
+                                                    const Incarnation &holder) const
 {
-    const auto division = divisions_.find(workspace);
-    if (division == divisions_.end()) {
+    const auto division = workspaces_.find(workspace);
+    if (division == workspaces_.end()) {
         return std::nullopt;
     }
     const auto found = division->second.holders.find(holder);
@@ -60,7 +60,7 @@
 std::vector<AllotmentRow> AllotmentTable::rowsOf(const Incarnation &holder) const
 {
     std::vector<AllotmentRow> rows;
-    for (const auto &[workspace, division] : divisions_) {
+    for (const auto &[workspace, division] : workspaces_) {
         const auto found = division.holders.find(holder);
         if (found != division.holders.end()) {
             rows.push_back({workspace, holder, found->second.allotment});
--- a/lib/Ledger/Charge.cpp
+++ b/lib/Ledger/Charge.cpp
@@ -7,33 +7,34 @@
 
 namespace {
 
-struct EndRule
+struct OutcomeRule
 {
-    AttemptEnd end;
+    AttemptOutcome outcome;
     bool mayHaveRun;
-    uint64_t unreadEvents; ///< that may have been on their way
+    uint64_t undeliveredEvents; ///< events that may have been in transit
 };
 
-/// Events that are charged as a margin where a stream is cut: they may have been on their way.
-constexpr uint64_t OverrunEvents = 8;
-
-constexpr EndRule EndRules[] = {
-        {AttemptEnd::NotConnected, false, 0},
-        {AttemptEnd::NotExecuted, false, 0},
-        {AttemptEnd::ConnectionLost, true, OverrunEvents},
-        {AttemptEnd::Cancelled, true, OverrunEvents},
-        {AttemptEnd::Stalled, true, OverrunEvents},
-        {AttemptEnd::TimedOut, true, OverrunEvents},
-        {AttemptEnd::ResponseRejected, true, 0},
-        {AttemptEnd::Failed, true, 0},
-        {AttemptEnd::Completed, true, 0},
+/// Events charged as a margin if a stream breaks off: they may have been in transit.
+constexpr uint64_t InTransitEvents = 8;
+
+constexpr OutcomeRule OutcomeRules[] = {
+        {AttemptOutcome::NotConnected, false, 0},
+        {AttemptOutcome::NotExecuted, false, 0},
+        {AttemptOutcome::ConnectionLost, true, InTransitEvents},
+        {AttemptOutcome::Cancelled, true, InTransitEvents},
+        {AttemptOutcome::Stalled, true, InTransitEvents},
+        {AttemptOutcome::TimedOut, true, InTransitEvents},
+        {AttemptOutcome::ResponseRejected, true, 0},
+        {AttemptOutcome::Failed, true, 0},
+        {AttemptOutcome::Completed, true, 0},
 };
 
-const EndRule &ruleOf(AttemptEnd end)
+const OutcomeRule &ruleOf(AttemptOutcome outcome)
 {
-    const auto *rule = std::find_if(std::begin(EndRules), std::end(EndRules),
-                                    [end](const EndRule &each) { return each.end == end; });
-    if (rule == std::end(EndRules)) {
+    const auto *rule =
+            std::find_if(std::begin(OutcomeRules), std::end(OutcomeRules),
+                         [outcome](const OutcomeRule &each) { return each.outcome == outcome; });
+    if (rule == std::end(OutcomeRules)) {
         throw std::logic_error("an end of an attempt has no charge");
     }
     return *rule;
@@ -44,11 +45,11 @@
 uint64_t tokensToCharge(const RequestUsage &use)
 {
     bool mayHaveRun = false;
-    uint64_t unreadEvents = 0;
-    for (const AttemptEnd end : use.attempts) {
-        const EndRule &rule = ruleOf(end);
+    uint64_t undeliveredEvents = 0;
+    for (const AttemptOutcome outcome : use.attempts) {
+        const OutcomeRule &rule = ruleOf(outcome);
         mayHaveRun = mayHaveRun || rule.mayHaveRun;
-        unreadEvents = std::max(unreadEvents, rule.unreadEvents);
+        undeliveredEvents = std::max(undeliveredEvents, rule.undeliveredEvents);
     }
     if (!mayHaveRun) {
         return 0;
@@ -56,7 +57,7 @@
     if (use.nonStreamingResponseForwarded) {
         return use.promptTokens + use.maxOutputTokens;
     }
-    const uint64_t events = use.eventsForwarded + unreadEvents;
+    const uint64_t events = use.eventsForwarded + undeliveredEvents;
     return use.promptTokens + std::min(use.maxOutputTokens, events * use.tokensPerEvent);
 }
 
--- a/lib/Ledger/DemandRate.cpp
+++ b/lib/Ledger/DemandRate.cpp
@@ -25,12 +25,12 @@
     updatedAt_ = std::max(updatedAt_, now);
 }
 
-uint64_t DemandRate::over(Interval span, Instant now) const
+uint64_t DemandRate::expectedTokens(Interval span, Instant now) const
 {
     const double share = FloatSeconds(span).count() / FloatSeconds(timeConstant_).count();
-    // Rates come from token counts that callers send: keep the product in range.
-    constexpr double Most = 1e18;
-    return static_cast<uint64_t>(std::min(weightedAt(now) * share, Most));
+    // Rates derive from token counts sent by callers: keep the product in range.
+    constexpr double MaxTokens = 1e18;
+    return static_cast<uint64_t>(std::min(weightedAt(now) * share, MaxTokens));
 }
 
 } // namespace sequoiagate
--- a/lib/Ledger/ElapsedBound.cpp
+++ b/lib/Ledger/ElapsedBound.cpp
@@ -9,7 +9,7 @@
     std::optional<Millis> smallest;
     for (const PeerClockReadings &peer : peers) {
         const Millis span = peer.clockAfter - peer.clockBefore - peer.askedAfterStart;
-        // A span below zero contradicts itself: whatever told it is wrong.
+        // A negative span is contradictory: at least one of its values is wrong.
         if (peer.processBefore != peer.processAfter || span < Millis::zero()) {
             continue;
         }
--- a/lib/Ledger/GrantAccount.cpp
+++ b/lib/Ledger/GrantAccount.cpp
@@ -5,7 +5,7 @@
 
 namespace sequoiagate {
 
-static uint64_t lessOrZero(uint64_t from, uint64_t amount)
+static uint64_t saturatingSub(uint64_t from, uint64_t amount)
 {
     return from > amount ? from - amount : 0;
 }
@@ -22,13 +22,13 @@
     if (phase_ == Phase::Closing) {
         return spent_;
     }
-    const bool direct = witness_.empty() && !nextWitness_;
-    return direct ? cap_ : std::min(received_, cap_);
+    const bool unwitnessed = witness_.empty() && !pendingWitness_;
+    return unwitnessed ? cap_ : std::min(received_, cap_);
 }
 
 uint64_t GrantAccount::available() const
 {
-    return lessOrZero(spendable(), spent_ + reserved_);
+    return saturatingSub(spendable(), spent_ + reserved_);
 }
 
 uint64_t GrantAccount::unsignedTokens() const
@@ -36,19 +36,19 @@
     return phase_ == Phase::Open ? cap_ - spendable() : 0;
 }
 
-uint64_t GrantAccount::left() const
+uint64_t GrantAccount::unreserved() const
 {
     return available() + unsignedTokens();
 }
 
-bool GrantAccount::takesWindows() const
+bool GrantAccount::acceptsWindows() const
 {
-    return phase_ == Phase::Open && !witness_.empty() && !nextWitness_;
+    return phase_ == Phase::Open && !witness_.empty() && !pendingWitness_;
 }
 
 bool GrantAccount::exhausted() const
 {
-    return phase_ != Phase::Claimed && reserved_ == 0 && left() == 0;
+    return phase_ != Phase::Claimed && reserved_ == 0 && unreserved() == 0;
 }
 
 void GrantAccount::draw(uint64_t tokens)
@@ -65,15 +65,15 @@
 }
 
 bool GrantAccount::acceptWindow(const Incarnation &witness, uint64_t signedTotal,
-                                bool evenWhileChanging)
+                                bool allowDuringChange)
 {
     if (phase_ != Phase::Open || witness != witness_) {
         return false;
     }
-    // Once a rewitness is on its way, the new witness counts from what it says. A
-    // window from the old one, signed before or after, wouldn't be in that count, and
-    // a later seal would refund what it let us spend.
-    if (nextWitness_ && !evenWhileChanging) {
+    // While a rewitness is pending, the new witness counts from the total reported in it. A window
+    // from the old witness, signed before or after, would be missing in that count, and a later
+    // seal would refund the tokens spent from it.
+    if (pendingWitness_ && !allowDuringChange) {
         return false;
     }
     received_ = std::max(received_, signedTotal);
@@ -85,14 +85,14 @@
     if (phase_ != Phase::Open) {
         return 0;
     }
-    return lessOrZero(cap_, std::max(base_, spent_ + reserved_));
+    return saturatingSub(cap_, std::max(base_, spent_ + reserved_));
 }
 
 void GrantAccount::relinquish(uint64_t tokens)
 {
     assert(tokens <= returnable() && "what is reserved can't be given up");
-    // The cap falls before the return is appended: once the log has it, another holder
-    // may spend the same tokens.
+    // The cap is lowered before the return is appended: once the return is in the log, another
+    // holder may spend the same tokens.
     cap_ -= tokens;
     returned_ += tokens;
     received_ = std::min(received_, cap_);
@@ -100,11 +100,11 @@
 
 void GrantAccount::changeWitness(const Incarnation &next, uint64_t allowance)
 {
-    assert(phase_ == Phase::Open && !nextWitness_ && "one change of witness at a time");
+    assert(phase_ == Phase::Open && !pendingWitness_ && "one change of witness at a time");
     if (witness_.empty()) {
         received_ = std::min(cap_, spent_ + reserved_ + allowance);
     }
-    nextWitness_ = next;
+    pendingWitness_ = next;
     base_ = std::max(base_, received_);
 }
 
@@ -125,8 +125,8 @@
         base_ = grant->baseSigned;
     }
     if (!grant || grant->ended) {
-        // What the end counted as spent is debited for good; an attestation may have
-        // counted less than what we received.
+        // Tokens counted as spent at the end of the grant are debited permanently; an attestation
+        // may have counted fewer than were received.
         received_ = spendable();
         if (grant) {
             received_ = std::min(received_, grant->baseSigned);
@@ -135,9 +135,9 @@
         phase_ = phase_ == Phase::Closing ? Phase::Closing : Phase::Ended;
         return;
     }
-    if (nextWitness_ && grant->witness == *nextWitness_) {
+    if (pendingWitness_ && grant->witness == *pendingWitness_) {
         witness_ = grant->witness;
-        nextWitness_.reset();
+        pendingWitness_.reset();
     }
 }
 
--- a/lib/Ledger/GrantHolder.cpp
+++ b/lib/Ledger/GrantHolder.cpp
@@ -10,20 +10,21 @@
 
 namespace {
 
-/// A grant's size follows demand over an eighth of its horizon: shorter, and a burst
-/// takes hours' worth of tokens; longer, and a morning's rise is met by many claims.
-constexpr int LongRateShare = 8;
-/// A window's size follows demand over twice its span.
-constexpr int ShortRateWindows = 2;
-constexpr Interval TickEvery = std::chrono::seconds(1);
+/// The size of a grant follows the demand averaged over an eighth of its horizon: with a shorter
+/// time, a burst claims tokens for hours; with a longer one, a rise in the morning requires many
+/// claims.
+constexpr int GrantDemandFraction = 8;
+/// The size of a window follows the demand averaged over twice its horizon.
+constexpr int WindowDemandHorizons = 2;
+constexpr Interval TickInterval = std::chrono::seconds(1);
 
 } // namespace
 
 GrantHolder::GrantHolder(WorkspaceId workspace, Incarnation self, GrantSettings settings,
                          GrantSafeguards safeguards)
     : workspace_(std::move(workspace)), self_(std::move(self)), settings_(settings),
-      safeguards_(safeguards), longRate_(settings.grantHorizon / LongRateShare),
-      shortRate_(settings.windowHorizon * ShortRateWindows)
+      safeguards_(safeguards), grantDemand_(settings.grantHorizon / GrantDemandFraction),
+      windowDemand_(settings.windowHorizon * WindowDemandHorizons)
 {}
 
 wire::Record &GrantHolder::append()
@@ -32,18 +33,18 @@
     return std::get<AppendAction>(actions_.back()).record;
 }
 
-GrantHolder::Held *GrantHolder::find(const GrantId &grant)
+GrantHolder::HeldGrant *GrantHolder::find(const GrantId &grant)
 {
-    const auto found = std::find_if(grants_.begin(), grants_.end(), [&grant](const Held &held) {
-        return held.account.id() == grant;
-    });
+    const auto found =
+            std::find_if(grants_.begin(), grants_.end(),
+                         [&grant](const HeldGrant &held) { return held.account.id() == grant; });
     return found == grants_.end() ? nullptr : &*found;
 }
 
 uint64_t GrantHolder::reservedTokens() const
 {
     uint64_t sum = 0;
-    for (const Held &held : grants_) {
+    for (const HeldGrant &held : grants_) {
         sum += held.account.reserved();
     }
     return sum;
@@ -52,7 +53,7 @@
 uint64_t GrantHolder::availableTokens() const
 {
     uint64_t sum = 0;
-    for (const Held &held : grants_) {
+    for (const HeldGrant &held : grants_) {
         sum += held.account.available();
     }
     return sum;
@@ -61,8 +62,8 @@
 uint64_t GrantHolder::unreservedTokens() const
 {
     uint64_t sum = 0;
-    for (const Held &held : grants_) {
-        sum += held.account.left();
+    for (const HeldGrant &held : grants_) {
+        sum += held.account.unreserved();
     }
     return sum;
 }
@@ -70,15 +71,15 @@
 uint64_t GrantHolder::unsignedTokens() const
 {
     uint64_t sum = 0;
-    for (const Held &held : grants_) {
-        sum += held.account.takesWindows() ? held.account.unsignedTokens() : 0;
+    for (const HeldGrant &held : grants_) {
+        sum += held.account.acceptsWindows() ? held.account.unsignedTokens() : 0;
     }
     return sum;
 }
 
 uint64_t GrantHolder::windowTokens(Instant now) const
 {
-    return shortRate_.over(settings_.windowHorizon, now);
+    return windowDemand_.expectedTokens(settings_.windowHorizon, now);
 }
 
 ReserveOutcome GrantHolder::reserve(const ReservationId &id, uint64_t tokens,
@@ -92,22 +93,23 @@
         return Verdict{Execution::NotRun, Reason::Draining, "the keeper is stopping", now};
     }
     logReachable_ = logReachable;
-    if (waiting_.emplace(id, Waiting{tokens, now + settings_.maxReserveWait}).second) {
-        longRate_.add(tokens, now);
-        shortRate_.add(tokens, now);
+    if (pendingRequests_.emplace(id, PendingRequest{tokens, now + settings_.maxReserveWait})
+                .second) {
+        grantDemand_.add(tokens, now);
+        windowDemand_.add(tokens, now);
     }
     if (tokens <= availableTokens()) {
         return draw(id, tokens);
     }
-    const Surroundings around{witnesses, fold, logReachable, now};
-    return waitOrRefuse(id, tokens, around);
+    const Context context{witnesses, fold, logReachable, now};
+    return waitOrRefuse(id, tokens, context);
 }
 
 ReservationDraws GrantHolder::draw(const ReservationId &id, uint64_t tokens)
 {
     ReservationDraws draws{id, tokens, {}};
     uint64_t missing = tokens;
-    for (Held &held : grants_) {
+    for (HeldGrant &held : grants_) {
         const uint64_t part = std::min(missing, held.account.available());
         if (part == 0) {
             continue;
@@ -117,74 +119,75 @@
         missing -= part;
     }
     assert(missing == 0 && "the caller has checked that the windows cover it");
-    waiting_.erase(id);
+    pendingRequests_.erase(id);
     reservations_.emplace(id, draws);
     return draws;
 }
 
 ReserveOutcome GrantHolder::waitOrRefuse(const ReservationId &id, uint64_t tokens,
-                                         const Surroundings &around)
+                                         const Context &context)
 {
     const uint64_t shortage = tokens - availableTokens();
-    askForWindows(shortage, around.now);
-    const uint64_t coming = unsignedTokens() + claimsUnderWay(around.now);
-    if (around.logReachable && shortage > coming) {
-        claimFor(shortage - coming, around);
+    requestWindows(shortage, context.now);
+    const uint64_t pendingTokens = unsignedTokens() + pendingClaimTokens(context.now);
+    if (context.logReachable && shortage > pendingTokens) {
+        submitClaim(shortage - pendingTokens, context);
     }
-    const Instant until = waiting_.at(id).until;
-    if (around.now < until && answerUnderWay(around)) {
+    const Instant until = pendingRequests_.at(id).deadline;
+    if (context.now < until && isResponsePending(context)) {
         return ReservePending{until};
     }
-    waiting_.erase(id);
-    return refusal(tokens, around);
+    pendingRequests_.erase(id);
+    return makeRefusal(tokens, context);
 }
 
-bool GrantHolder::answerUnderWay(const Surroundings &around) const
+bool GrantHolder::isResponsePending(const Context &context) const
 {
-    return std::any_of(grants_.begin(), grants_.end(), [&around](const Held &held) {
+    return std::any_of(grants_.begin(), grants_.end(), [&context](const HeldGrant &held) {
         const GrantAccount &account = held.account;
         const bool claimed = account.phase() == GrantAccount::Phase::Claimed
-                             && around.now < account.claimedAt() + ClaimGivenUpAfter;
+                             && context.now < account.claimedAt() + ClaimTimeout;
         const bool fromLog = claimed || account.witnessChangePending();
-        const bool fromWitness = held.ask.until != Never && around.now < held.ask.until;
-        return (fromLog && around.logReachable) || fromWitness;
+        const bool fromWitness =
+                held.windowRequest.deadline != Never && context.now < held.windowRequest.deadline;
+        return (fromLog && context.logReachable) || fromWitness;
     });
 }
 
-bool GrantHolder::nothingRemains(uint64_t tokens, const Surroundings &around) const
+bool GrantHolder::isBudgetExhausted(uint64_t tokens, const Context &context) const
 {
-    const LedgerBudget *budget = around.fold.budget(workspace_);
-    // While the log is silent, a top-up may stand there that we can't hear of.
-    if (!around.logReachable || !budget || budget->configVersion == 0) {
+    const LedgerBudget *budget = context.fold.budget(workspace_);
+    // While the log is unreachable, it may contain a top-up that hasn't been read.
+    if (!context.logReachable || !budget || budget->configVersion == 0) {
         return false;
     }
-    for (const LedgerGrant *grant : around.fold.grantsOf(workspace_)) {
+    for (const LedgerGrant *grant : context.fold.grantsOf(workspace_)) {
         if (grant->holder != self_) {
             return false;
         }
     }
-    return tokens > remainingTokens(*budget, around.now) + reservedTokens();
+    return tokens > remainingTokens(*budget, context.now) + reservedTokens();
 }
 
 uint64_t GrantHolder::remainingTokens(const LedgerBudget &budget, Instant now) const
 {
-    return budget.remainder() + unreservedTokens() + claimsUnderWay(now);
+    return budget.remainder() + unreservedTokens() + pendingClaimTokens(now);
 }
 
-Verdict GrantHolder::refusal(uint64_t tokens, const Surroundings &around) const
+Verdict GrantHolder::makeRefusal(uint64_t tokens, const Context &context) const
 {
-    if (nothingRemains(tokens, around)) {
+    if (isBudgetExhausted(tokens, context)) {
         return {Execution::NotRun, Reason::BudgetSpent,
                 fmt::format("the budget of workspace {} is spent: up to {} tokens are needed, "
                             "{} remain",
                             workspace_.text(), tokens,
-                            remainingTokens(*around.fold.budget(workspace_), around.now)),
+                            remainingTokens(*context.fold.budget(workspace_), context.now)),
                 std::nullopt};
     }
     return {Execution::NotRun, Reason::BudgetUnreachable,
-            around.logReachable ? "budget remains, but is held elsewhere"
-                                : "budget may remain, but the log can't be reached",
-            around.now + settings_.comeBackAfter};
+            context.logReachable ? "budget remains, but is held elsewhere"
+                                 : "budget may remain, but the log can't be reached",
+            context.now + settings_.retryAfter};
 }
 
 std::vector<Draw> GrantHolder::settle(const ReservationId &id, uint64_t spent, Instant now)
@@ -195,13 +198,13 @@
     }
     assert(spent <= found->second.tokens && "a stream is cut at its reservation");
     uint64_t toSpend = std::min(spent, found->second.tokens);
-    longRate_.remove(found->second.tokens - toSpend, now);
-    shortRate_.remove(found->second.tokens - toSpend, now);
+    grantDemand_.remove(found->second.tokens - toSpend, now);
+    windowDemand_.remove(found->second.tokens - toSpend, now);
     std::vector<Draw> drawn;
     for (const Draw &draw : found->second.draws) {
         const uint64_t part = std::min(toSpend, draw.tokens);
         toSpend -= part;
-        Held *held = find(draw.grant);
+        HeldGrant *held = find(draw.grant);
         assert(held && "a grant with a reservation is kept");
         held->account.settle(draw.tokens, part);
         if (part > 0) {
@@ -216,53 +219,54 @@
 void GrantHolder::onWindow(const GrantId &grant, const Incarnation &witness, uint64_t signedTotal,
                            Instant /*now*/)
 {
-    Held *held = find(grant);
+    HeldGrant *held = find(grant);
     if (!held || held->account.witness() != witness) {
         return;
     }
-    suspected_.erase(witness);
-    held->ask = Ask{};
+    suspectedWitnesses_.erase(witness);
+    held->windowRequest = WindowRequest{};
     held->account.acceptWindow(witness, signedTotal, !safeguards_.holderStopsWindowsFirst);
 }
 
 void GrantHolder::onWindowRefused(const GrantId &grant, const Incarnation &witness, bool final,
                                   Instant /*now*/)
 {
-    Held *held = find(grant);
+    HeldGrant *held = find(grant);
     if (!held || held->account.witness() != witness) {
         return;
     }
-    held->ask = Ask{};
+    held->windowRequest = WindowRequest{};
     if (final) {
-        held->refusedForGood = true;
-        avoided_.insert(witness);
+        held->permanentlyRefused = true;
+        excludedWitnesses_.insert(witness);
     }
 }
 
 void GrantHolder::onFold(const LedgerFold &fold, Instant now)
 {
-    for (Held &held : grants_) {
+    for (HeldGrant &held : grants_) {
         GrantAccount &account = held.account;
         const GrantAccount::Phase before = account.phase();
         const Incarnation witnessBefore = account.witness();
         account.updateFromLog(fold.grant(account.id()));
         if (before == GrantAccount::Phase::Open && account.phase() == GrantAccount::Phase::Ended) {
-            // Our witness took us for dead and won't sign for this incarnation again.
-            avoided_.insert(account.witness());
+            // The witness considered this holder failed and will not sign for this incarnation
+            // again.
+            excludedWitnesses_.insert(account.witness());
         }
         if (before == GrantAccount::Phase::Claimed
             && account.phase() == GrantAccount::Phase::Open) {
-            // The pause is there for claims that are refused. After an accepted one that
-            // was too small, as they are near the budget's end, the next goes out at
-            // once: a caller waits for it.
-            claimAgainAt_ = now;
+            // The pause applies to refused claims. An accepted claim may have been too small, as is
+            // common near the end of a budget; then the next one is sent at once, since a caller is
+            // waiting for it.
+            nextClaimAt_ = now;
         }
         if (account.witness() != witnessBefore) {
-            held.ask = Ask{};
-            held.refusedForGood = false;
+            held.windowRequest = WindowRequest{};
+            held.permanentlyRefused = false;
         }
     }
-    const std::size_t removed = std::erase_if(grants_, [&](const Held &held) {
+    const std::size_t removed = std::erase_if(grants_, [&](const HeldGrant &held) {
         const LedgerGrant *known = fold.grant(held.account.id());
         const bool claimed = held.account.phase() == GrantAccount::Phase::Claimed;
         const bool refused = claimed && fold.claimRefused(workspace_, held.account.id());
@@ -273,14 +277,14 @@
         return refused || closed || used;
     });
     if (removed > 0) {
-        claimAgainAt_ = std::max(claimAgainAt_, now);
+        nextClaimAt_ = std::max(nextClaimAt_, now);
     }
 }
 
 void GrantHolder::onWitnessSuspected(const Incarnation &witness,
                                      const std::vector<Incarnation> &others, Instant now)
 {
-    suspected_.insert(witness);
+    suspectedWitnesses_.insert(witness);
     if (!logReachable_) {
         return;
     }
@@ -288,26 +292,26 @@
     if (!next) {
         return;
     }
-    for (Held &held : grants_) {
-        if (held.account.takesWindows() && held.account.witness() == witness) {
+    for (HeldGrant &held : grants_) {
+        if (held.account.acceptsWindows() && held.account.witness() == witness) {
             replaceWitness(held, *next, now);
         }
     }
 }
 
-void GrantHolder::expireAsks(Instant now)
+void GrantHolder::expireWindowRequests(Instant now)
 {
-    for (Held &held : grants_) {
-        if (held.ask.until != Never && held.ask.until <= now) {
-            held.ask.until = Never;
-            ++held.ask.failures;
+    for (HeldGrant &held : grants_) {
+        if (held.windowRequest.deadline != Never && held.windowRequest.deadline <= now) {
+            held.windowRequest.deadline = Never;
+            ++held.windowRequest.failures;
         }
     }
 }
 
-void GrantHolder::forgetWaiting(Instant now)
+void GrantHolder::removeExpiredRequests(Instant now)
 {
-    std::erase_if(waiting_, [this, now](const auto &entry) {
+    std::erase_if(pendingRequests_, [this, now](const auto &entry) {
         return entry.second.until + settings_.maxReserveWait < now;
     });
 }
@@ -316,40 +320,40 @@
                          bool logReachable, Instant now)
 {
     logReachable_ = logReachable;
-    nextTick_ = now + TickEvery;
-    expireAsks(now);
-    forgetWaiting(now);
+    nextTick_ = now + TickInterval;
+    expireWindowRequests(now);
+    removeExpiredRequests(now);
     closeExhausted();
     if (draining_) {
         drain(now);
         return;
     }
-    const Surroundings around{witnesses, fold, logReachable, now};
-    // With the log silent the witness opens up by and by: ask on, to get what it opens.
+    const Context context{witnesses, fold, logReachable, now};
+    // While the log is unreachable the witness gradually widens its windows: keep requesting them.
     if (!logReachable || availableTokens() * 2 < windowTokens(now)) {
-        askForWindows(0, now);
+        requestWindows(0, now);
     }
     if (!logReachable) {
         return;
     }
-    notePreferred(around);
-    replaceWitnesses(around);
-    returnIdle(around);
-    claimAhead(around);
+    updatePreferredWitness(context);
+    replaceWitnesses(context);
+    returnIdleTokens(context);
+    claimAheadOfDemand(context);
 }
 
 bool GrantHolder::drain(Instant /*now*/)
 {
     draining_ = true;
     bool open = false;
-    for (Held &held : grants_) {
+    for (HeldGrant &held : grants_) {
         const GrantAccount::Phase phase = held.account.phase();
         if (held.account.reserved() > 0) {
             open = true;
             continue;
         }
-        // A claim that isn't read back is closed, too: its close stands after it in the
-        // log, since one writer's records keep their order.
+        // A claim that isn't confirmed yet is closed, too: its close follows it in the log, since
+        // the records of one writer stay in order.
         if (phase == GrantAccount::Phase::Open || phase == GrantAccount::Phase::Claimed) {
             close(held);
         }
@@ -365,7 +369,7 @@
 std::vector<wire::HeldGrant> GrantHolder::describe() const
 {
     std::vector<wire::HeldGrant> result;
-    for (const Held &held : grants_) {
+    for (const HeldGrant &held : grants_) {
         wire::HeldGrant entry;
         entry.set_grant(held.account.id().text());
         entry.set_workspace(workspace_.text());
--- a/lib/Ledger/GrantUpkeep.cpp
+++ b/lib/Ledger/GrantUpkeep.cpp
@@ -6,68 +6,68 @@
 
 #include "sequoiagate/Base/Rendezvous.h"
 
-// What a holder does on its own account: claims, windows, witnesses, returns. What its
-// callers ask of it stands in GrantHolder.cpp.
+// What a holder does on its own: claims, windows, witnesses and returns. GrantHolder.cpp contains
+// what its callers request.
 
 namespace sequoiagate {
 
 namespace {
 
-/// A new claim goes out when less than this share of the horizon is left, so that it
-/// is read back long before the windows run dry.
-constexpr int ClaimAheadShare = 2;
-/// More than this many horizons' worth lies idle: demand has moved elsewhere.
+/// A new claim is sent when less than this fraction of the horizon is left, so that it is confirmed
+/// long before the windows are used up.
+constexpr int ClaimAheadFraction = 2;
+/// More idle tokens than for this many horizons: demand has moved to other holders.
 constexpr int IdleHorizons = 2;
-/// Windows' worth that a holder keeps back when others go short, or after the log was
-/// silent and its witness had opened up.
-constexpr int WindowsKept = 2;
-/// More than this many windows received and unspent, with the log back, is what a
-/// death would needlessly put in doubt.
-constexpr int WindowsTooMany = 6;
-/// So many asks without an answer: the witness is out of reach, whatever the
-/// membership says, as in a partition that cuts only the two of us apart.
-constexpr int AsksBeforeReplacing = 4;
-/// A witness that has been the best one for so long takes over: the witnesses' order
-/// moves for a moment whenever a host comes or goes, and each change is a record.
-constexpr Interval BetterWitnessAfter = std::chrono::seconds(30);
+/// Number of windows that a holder keeps when other holders lack tokens, or after the log was
+/// unreachable and the witness had widened its windows.
+constexpr int MinKeptWindows = 2;
+/// With the log reachable, more than this many received but unspent windows would needlessly be in
+/// doubt if the holder failed.
+constexpr int MaxUnspentWindows = 6;
+/// After this many requests without a response the witness is unreachable, whatever the membership
+/// reports, as in a partition that separates only the two keepers.
+constexpr int MaxFailedRequests = 4;
+/// A witness that has been the best one for this long replaces the current one: the order of the
+/// witnesses changes briefly whenever a host joins or leaves, and each replacement is a record.
+constexpr Interval WitnessReplacementDelay = std::chrono::seconds(30);
 
-uint64_t lessOrZero(uint64_t from, uint64_t amount)
+uint64_t saturatingSub(uint64_t from, uint64_t amount)
 {
     return from > amount ? from - amount : 0;
 }
 
 } // namespace
 
-void GrantHolder::askForWindows(uint64_t tokens, Instant now)
+void GrantHolder::requestWindows(uint64_t tokens, Instant now)
 {
     uint64_t missing = std::max(tokens, windowTokens(now));
-    for (Held &held : grants_) {
+    for (HeldGrant &held : grants_) {
         const uint64_t part = std::min(missing, held.account.unsignedTokens());
-        if (part == 0 || !held.account.takesWindows() || held.refusedForGood) {
+        if (part == 0 || !held.account.acceptsWindows() || held.permanentlyRefused) {
             continue;
         }
         missing -= part;
-        if (held.ask.until != Never) {
+        if (held.windowRequest.deadline != Never) {
             continue;
         }
-        held.ask.until = now + settings_.askTimeout;
-        RequestWindowAction ask;
-        ask.witness = held.account.witness();
-        ask.grant = held.account.id();
-        ask.workspace = workspace_;
-        ask.receivedTokens = held.account.received();
-        ask.wantTokens = part;
-        ask.returnedTokens = held.account.returned();
-        actions_.emplace_back(std::move(ask));
+        held.windowRequest.deadline = now + settings_.windowRequestTimeout;
+        RequestWindowAction request;
+        request.witness = held.account.witness();
+        request.grant = held.account.id();
+        request.workspace = workspace_;
+        request.receivedTokens = held.account.received();
+        request.wantTokens = part;
+        request.returnedTokens = held.account.returned();
+        actions_.emplace_back(std::move(request));
     }
 }
 
-uint64_t GrantHolder::claimsUnderWay(Instant now) const
+uint64_t GrantHolder::pendingClaimTokens(Instant now) const
 {
     uint64_t sum = 0;
-    for (const Held &held : grants_) {
+    for (const HeldGrant &held : grants_) {
         if (held.account.phase() == GrantAccount::Phase::Claimed
-            && now < held.account.claimedAt() + ClaimGivenUpAfter) {
+            && now < held.account.claimedAt() + ClaimTimeout) {
             sum += held.account.cap();
         }
     }
@@ -78,31 +78,32 @@
                                 Instant now) const
 {
     const Interval horizon = witnessed ? settings_.grantHorizon : settings_.unwitnessedHorizon;
-    const uint64_t wanted = std::max(lessOrZero(longRate_.over(horizon, now), unreservedTokens()),
-                                     settings_.minimumGrant);
-    // A share of what is left, so that claims shrink towards the end and the last tokens
-    // aren't all in the first claimer's hands; but never less than the need itself.
+    const uint64_t wanted =
+            std::max(saturatingSub(grantDemand_.expectedTokens(horizon, now), unreservedTokens()),
+                     settings_.minimumGrant);
+    // A share of the remainder, so that claims become smaller towards the end and the first claimer
+    // doesn't get all of the last tokens; but never less than what is needed now.
     const auto share =
             static_cast<uint64_t>(settings_.shareOfRemainder * static_cast<double>(remainder));
     return std::max(std::min(wanted, share), need);
 }
 
-void GrantHolder::claimFor(uint64_t need, const Surroundings &around)
+void GrantHolder::submitClaim(uint64_t need, const Context &context)
 {
-    const LedgerBudget *budget = around.fold.budget(workspace_);
-    if (!budget || budget->configVersion == 0 || around.now < claimAgainAt_
-        || claimsUnderWay(around.now) > 0) {
+    const LedgerBudget *budget = context.fold.budget(workspace_);
+    if (!budget || budget->configVersion == 0 || context.now < nextClaimAt_
+        || pendingClaimTokens(context.now) > 0) {
         return;
     }
-    const std::optional<Incarnation> witness = chooseWitness(around.witnesses, Incarnation());
-    // A claim for more than remains is refused; it is sent all the same, since the fold
-    // then shows the unmet demand, upon which the other holders return what lies idle.
-    const uint64_t size = claimSize(need, witness.has_value(), budget->remainder(), around.now);
+    const std::optional<Incarnation> witness = chooseWitness(context.witnesses, Incarnation());
+    // A claim for more than remains will be refused; it is sent nevertheless, since the fold then
+    // shows the unmet demand, and the other holders return their idle tokens.
+    const uint64_t size = claimSize(need, witness.has_value(), budget->remainder(), context.now);
     if (size == 0) {
         return;
     }
-    claimAgainAt_ = around.now + settings_.claimPause;
-    GrantAccount account(nextGrantId(), size, witness.value_or(Incarnation()), around.now);
+    nextClaimAt_ = context.now + settings_.claimPause;
+    GrantAccount account(nextGrantId(), size, witness.value_or(Incarnation()), context.now);
     wire::GrantClaim &claim = *append().mutable_grant_claim();
     claim.set_grant(account.id().text());
     claim.set_workspace(workspace_.text());
@@ -114,7 +115,8 @@
 
 GrantId GrantHolder::nextGrantId()
 {
-    // Derived, not drawn: the incarnation is random, and so a run can be replayed.
+    // Derived instead of random: the incarnation is random already, and this makes a run
+    // reproducible.
     ++grantsClaimed_;
     const std::string name =
             fmt::format("{}/{}/{}", self_.text(), workspace_.text(), grantsClaimed_);
@@ -126,111 +128,113 @@
 {
     for (const Incarnation &candidate : candidates) {
         if (candidate != self_ && candidate != except && !candidate.empty()
-            && !avoided_.contains(candidate) && !suspected_.contains(candidate)) {
+            && !excludedWitnesses_.contains(candidate)
+            && !suspectedWitnesses_.contains(candidate)) {
             return candidate;
         }
     }
     return std::nullopt;
 }
 
-void GrantHolder::replaceWitness(Held &held, const Incarnation &next, Instant now)
+void GrantHolder::replaceWitness(HeldGrant &held, const Incarnation &next, Instant now)
 {
-    const uint64_t allowance = WindowsTooMany * windowTokens(now);
+    const uint64_t allowance = MaxUnspentWindows * windowTokens(now);
     held.account.changeWitness(next, allowance);
-    held.ask = Ask{};
+    held.windowRequest = WindowRequest{};
     wire::GrantRewitness &change = *append().mutable_grant_rewitness();
     change.set_grant(held.account.id().text());
     change.set_received_tokens(held.account.received());
     change.set_witness(next.text());
 }
 
-void GrantHolder::notePreferred(const Surroundings &around)
+void GrantHolder::updatePreferredWitness(const Context &context)
 {
-    std::optional<Incarnation> best = chooseWitness(around.witnesses, Incarnation());
-    if (best != preferred_) {
-        preferred_ = std::move(best);
-        preferredFrom_ = around.now + BetterWitnessAfter;
+    std::optional<Incarnation> best = chooseWitness(context.witnesses, Incarnation());
+    if (best != preferredWitness_) {
+        preferredWitness_ = std::move(best);
+        preferredEffectiveAt_ = context.now + WitnessReplacementDelay;
     }
 }
 
-void GrantHolder::replaceWitnesses(const Surroundings &around)
+void GrantHolder::replaceWitnesses(const Context &context)
 {
-    // After a death the only witness left may be in another failure domain. Were it kept
-    // once the dead one is replaced, the next partition would cut the holder off from its
-    // windows, and it would refuse with a full grant in hand.
-    const bool settled = preferred_ && around.now >= preferredFrom_;
-    for (Held &held : grants_) {
+    // After a failure the only remaining witness may be in another failure domain. If it were kept
+    // once the failed one is replaced, the next partition would separate the holder from its
+    // windows, and it would refuse requests despite a full grant.
+    const bool isPreferredStable = preferredWitness_ && context.now >= preferredEffectiveAt_;
+    for (HeldGrant &held : grants_) {
         GrantAccount &account = held.account;
         if (account.phase() != GrantAccount::Phase::Open || account.witnessChangePending()
             || account.unsignedTokens() + account.available() == 0) {
             continue;
         }
-        const bool failing = held.ask.failures >= AsksBeforeReplacing || held.refusedForGood
-                             || suspected_.contains(account.witness());
-        const bool outranked = settled && account.witness() != *preferred_;
-        if (!account.witness().empty() && !failing && !outranked) {
+        const bool hasFailed = held.windowRequest.failures >= MaxFailedRequests
+                               || held.permanentlyRefused
+                               || suspectedWitnesses_.contains(account.witness());
+        const bool isOutranked = isPreferredStable && account.witness() != *preferredWitness_;
+        if (!account.witness().empty() && !hasFailed && !isOutranked) {
             continue;
         }
-        const std::optional<Incarnation> next = chooseWitness(around.witnesses, account.witness());
+        const std::optional<Incarnation> next = chooseWitness(context.witnesses, account.witness());
         if (next) {
-            replaceWitness(held, *next, around.now);
+            replaceWitness(held, *next, context.now);
         }
     }
 }
 
-void GrantHolder::claimAhead(const Surroundings &around)
+void GrantHolder::claimAheadOfDemand(const Context &context)
 {
-    const LedgerBudget *budget = around.fold.budget(workspace_);
-    // While another holder goes short, only a need of our own justifies a claim: else
-    // what was just returned for it would be claimed back.
+    const LedgerBudget *budget = context.fold.budget(workspace_);
+    // While another holder lacks tokens, only an immediate need justifies a claim: otherwise this
+    // holder would claim back what was just returned for the other one.
     if (!budget || budget->remainder() == 0 || budget->unmetTokens > 0) {
         return;
     }
-    const Interval ahead = settings_.grantHorizon / ClaimAheadShare;
-    if (unreservedTokens() < longRate_.over(ahead, around.now)) {
-        claimFor(0, around);
+    const Interval ahead = settings_.grantHorizon / ClaimAheadFraction;
+    if (unreservedTokens() < grantDemand_.expectedTokens(ahead, context.now)) {
+        submitClaim(0, context);
     }
 }
 
-void GrantHolder::returnIdle(const Surroundings &around)
+void GrantHolder::returnIdleTokens(const Context &context)
 {
-    const LedgerBudget *budget = around.fold.budget(workspace_);
+    const LedgerBudget *budget = context.fold.budget(workspace_);
     if (!budget) {
         return;
     }
-    const uint64_t keptWindows = WindowsKept * windowTokens(around.now);
-    const uint64_t horizon = longRate_.over(settings_.grantHorizon, around.now);
+    const uint64_t keptWindows = MinKeptWindows * windowTokens(context.now);
+    const uint64_t horizon = grantDemand_.expectedTokens(settings_.grantHorizon, context.now);
     const bool tooMuch = unreservedTokens() > IdleHorizons * horizon + settings_.minimumGrant;
     uint64_t idle = 0;
     if (budget->unmetTokens > 0) {
-        idle = lessOrZero(unreservedTokens(), keptWindows);
+        idle = saturatingSub(unreservedTokens(), keptWindows);
     } else if (tooMuch) {
         idle = unreservedTokens() - horizon - settings_.minimumGrant / 2;
     }
     for (auto held = grants_.rbegin(); held != grants_.rend(); ++held) {
-        if (around.now < held->returnAgainAt) {
+        if (context.now < held->nextReturnAt) {
             continue;
         }
         const GrantAccount &account = held->account;
-        // Without a witness nothing was opened: all of the grant is spent directly.
+        // Without a witness no window was widened: the whole grant is spent directly.
         const uint64_t kept =
-                WindowsTooMany * windowTokens(around.now) + settings_.minimumGrant / 2;
-        const uint64_t opened =
-                account.witness().empty() ? 0 : lessOrZero(account.available(), kept);
-        const uint64_t wanted = std::max(std::min(idle, account.left()), opened);
-        idle = lessOrZero(idle, wanted);
-        giveBack(*held, wanted, around.now);
+                MaxUnspentWindows * windowTokens(context.now) + settings_.minimumGrant / 2;
+        const uint64_t widened =
+                account.witness().empty() ? 0 : saturatingSub(account.available(), kept);
+        const uint64_t wanted = std::max(std::min(idle, account.unreserved()), widened);
+        idle = saturatingSub(idle, wanted);
+        returnTokens(*held, wanted, context.now);
     }
 }
 
-void GrantHolder::giveBack(Held &held, uint64_t tokens, Instant now)
+void GrantHolder::returnTokens(HeldGrant &held, uint64_t tokens, Instant now)
 {
     GrantAccount &account = held.account;
     if (tokens == 0 || account.phase() != GrantAccount::Phase::Open) {
         return;
     }
-    held.returnAgainAt = now + settings_.claimPause;
-    if (account.reserved() == 0 && tokens == account.left()) {
+    held.nextReturnAt = now + settings_.claimPause;
+    if (account.reserved() == 0 && tokens == account.unreserved()) {
         close(held);
         return;
     }
@@ -244,10 +248,10 @@
     giveBack.set_tokens(part);
 }
 
-void GrantHolder::close(Held &held)
+void GrantHolder::close(HeldGrant &held)
 {
     held.account.close();
-    held.ask = Ask{};
+    held.windowRequest = WindowRequest{};
     wire::GrantClose &close = *append().mutable_grant_close();
     close.set_grant(held.account.id().text());
     close.set_spent_tokens(held.account.spent());
@@ -255,14 +259,14 @@
 
 void GrantHolder::closeExhausted()
 {
-    // An exhausted grant that stays open would read, to a holder that goes short, as
-    // budget that remains elsewhere: it could never say that the budget is spent.
-    for (Held &held : grants_) {
+    // An exhausted grant that stays open would look, to a holder that lacks tokens, like budget
+    // held elsewhere: it could never report that the budget is spent.
+    for (HeldGrant &held : grants_) {
         if (held.account.phase() == GrantAccount::Phase::Open && held.account.exhausted()) {
             close(held);
         }
     }
-    std::erase_if(grants_, [](const Held &held) {
+    std::erase_if(grants_, [](const HeldGrant &held) {
         return held.account.phase() == GrantAccount::Phase::Ended && held.account.exhausted();
     });
 }
--- a/lib/Ledger/GrantWitness.cpp
+++ b/lib/Ledger/GrantWitness.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-Verdict notNow(std::string detail, Instant comeBackAt)
+Verdict refuseForNow(std::string detail, Instant comeBackAt)
 {
     return {Execution::NotRun, Reason::BudgetUnreachable, std::move(detail), comeBackAt};
 }
 
-Verdict never(std::string detail)
+Verdict refusePermanently(std::string detail)
 {
     return {Execution::NotRun, Reason::BudgetUnreachable, std::move(detail), std::nullopt};
 }
@@ -29,44 +29,46 @@
 {
     const LedgerGrant *known = fold.grant(grant);
     if (!known) {
-        return notNow("the grant hasn't been read from the log yet", now + settings_.askTimeout);
+        return refuseForNow("the grant hasn't been read from the log yet",
+                            now + settings_.windowRequestTimeout);
     }
     if (known->ended) {
-        return never("the grant has ended");
+        return refusePermanently("the grant has ended");
     }
     if (known->holder != holder) {
-        return never("the grant is held by another keeper");
+        return refusePermanently("the grant is held by another keeper");
     }
     if (known->witness != self_) {
-        return notNow("another keeper is the grant's witness", now + settings_.askTimeout);
+        return refuseForNow("another keeper is the grant's witness",
+                            now + settings_.windowRequestTimeout);
     }
-    // Whoever is taken for dead once is never signed for again, even if it answers: the
-    // seal on its way says what was signed, and must stay true.
-    const bool stopped = stopped_.contains(holder);
+    // Nothing is signed again for a holder that was once considered failed, even if it responds:
+    // the pending seal states what was signed, and must remain true.
+    const bool stopped = stoppedHolders_.contains(holder);
     if (stopped && safeguards_.witnessStopsSigningFirst) {
-        return never("the holder was taken for dead");
+        return refusePermanently("the holder was taken for dead");
     }
-    Signed &count = grants_[grant];
-    // A witness that was replaced and named again keeps its count: windows of its first
-    // time may still be under way to the holder, which takes them as it is the witness.
+    SignedGrant &count = grants_[grant];
+    // A witness that was replaced and named again keeps its count: windows that it signed before
+    // may still be in transit to the holder, which accepts them, as it is the witness.
     count.total = std::max(count.total, known->baseSigned);
     const uint64_t unsignedTokens = known->tokens > received ? known->tokens - received : 0;
-    const uint64_t opened = openedTokens(unsignedTokens, now - logHeardAt);
-    const uint64_t wanted = received + std::min(unsignedTokens, std::max(want, opened));
-    count.total = std::max(count.total, wanted);
+    const uint64_t outageTokens = outageWindowTokens(unsignedTokens, now - logHeardAt);
+    const uint64_t signedTotal = received + std::min(unsignedTokens, std::max(want, outageTokens));
+    count.total = std::max(count.total, signedTotal);
     return count.total;
 }
 
-uint64_t GrantWitness::openedTokens(uint64_t unsignedTokens, Interval silence) const
+uint64_t GrantWitness::outageWindowTokens(uint64_t unsignedTokens, Interval sinceLogHeard) const
 {
-    if (silence <= settings_.logSilentAfter) {
+    if (sinceLogHeard <= settings_.logSilentAfter) {
         return 0;
     }
-    if (silence >= settings_.openFullAfter) {
+    if (sinceLogHeard >= settings_.openFullAfter) {
         return unsignedTokens;
     }
     using FloatSeconds = std::chrono::duration<double>;
-    const double share = FloatSeconds(silence - settings_.logSilentAfter).count()
+    const double share = FloatSeconds(sinceLogHeard - settings_.logSilentAfter).count()
                          / FloatSeconds(settings_.openFullAfter - settings_.logSilentAfter).count();
     return static_cast<uint64_t>(share * static_cast<double>(unsignedTokens));
 }
@@ -79,7 +81,7 @@
 
 void GrantWitness::seal(const LedgerGrant &grant)
 {
-    Signed &count = grants_[grant.id];
+    SignedGrant &count = grants_[grant.id];
     if (count.sealSent) {
         return;
     }
@@ -95,7 +97,7 @@
 void GrantWitness::onHolderSuspected(const Incarnation &holder, const LedgerFold &fold,
                                      Instant /*now*/)
 {
-    stopped_.insert(holder);
+    stoppedHolders_.insert(holder);
     for (const LedgerGrant *grant : fold.grantsWitnessedBy(self_)) {
         if (grant->holder == holder) {
             seal(*grant);
@@ -112,11 +114,11 @@
     for (auto &[id, count] : grants_) {
         if (fold.grant(id)->witness != self_) {
             count.sealSent = false;
-            count.total = safeguards_.witnessKeepsItsCount ? count.total : 0;
+            count.total = safeguards_.witnessKeepsCount ? count.total : 0;
         }
     }
     for (const LedgerGrant *grant : fold.grantsWitnessedBy(self_)) {
-        if (stopped_.contains(grant->holder)) {
+        if (stoppedHolders_.contains(grant->holder)) {
             seal(*grant);
         }
     }
--- a/lib/Ledger/LedgerFold.cpp
+++ b/lib/Ledger/LedgerFold.cpp
@@ -15,19 +15,19 @@
     return {FoldOutcome::Accepted, {}, refund};
 }
 
-FoldResult refused(std::string why)
+FoldResult refused(std::string reason)
 {
-    return {FoldOutcome::Refused, std::move(why), 0};
+    return {FoldOutcome::Refused, std::move(reason), 0};
 }
 
-/// A sum that stays at its maximum: a wrapped counter would read as "nothing spent".
+/// A sum that saturates: a counter that wrapped would read as "nothing spent".
 uint64_t saturatingAdd(uint64_t left, uint64_t right)
 {
     const uint64_t sum = left + right;
     return sum < left ? UINT64_MAX : sum;
 }
 
-uint64_t lessOrZero(uint64_t from, uint64_t amount)
+uint64_t saturatingSub(uint64_t from, uint64_t amount)
 {
     return from > amount ? from - amount : 0;
 }
@@ -38,7 +38,7 @@
     return seed * 31 + std::hash<std::string>()(right);
 }
 
-/// Keys of a hash map in order, so that equal states give equal bytes.
+/// Entries of a hash map ordered by key, so that equal states produce equal bytes.
 template <typename Map, typename Less>
 std::vector<const typename Map::value_type *> sortedEntries(const Map &map, Less less)
 {
@@ -113,12 +113,12 @@
     if (record.writer().empty() || record.sequence() == 0) {
         return refused("a record needs a writer and a sequence from 1 on");
     }
-    // An append whose answer was lost is sent again and may stand twice, and a copy
-    // held up in the network may land long after. Counted twice, a return would put
-    // tokens into the pool that the holder still spends. A writer has one batch under
-    // way at a time, so the highest sequence seen is enough to know every copy.
+    // An append whose response was lost is resent and may be in the log twice, and a copy delayed
+    // in the network may be appended much later. If a return counted twice, it would put tokens
+    // into the pool that the holder still spends. A writer has one batch in flight at a time, so
+    // the highest folded sequence is sufficient to detect every copy.
     uint64_t &mark = writers_[Incarnation(record.writer())];
-    if (safeguards_.dropDoubles && record.sequence() <= mark) {
+    if (safeguards_.dropDuplicates && record.sequence() <= mark) {
         return {FoldOutcome::Duplicate, "folded before", 0};
     }
     mark = std::max(mark, record.sequence());
@@ -150,7 +150,8 @@
     case wire::Record::kRunOutcome:
         return applyRunOutcome(record.run_outcome());
     case wire::Record::kCheckpoint:
-        // It says what this fold knows already; it is for readers that start anew.
+        // This fold already has the checkpoint's state; the record is for readers that start from
+        // it.
         return accepted();
     case wire::Record::kConfigChange:
     case wire::Record::BODY_NOT_SET:
@@ -171,14 +172,14 @@
 }
 
 FoldResult LedgerFold::refuseClaim(BudgetEntry &entry, const wire::GrantClaim &claim,
-                                   std::string why)
+                                   std::string reason)
 {
     entry.budget.unmetTokens = saturatingAdd(entry.budget.unmetTokens, claim.tokens());
     if (entry.refused.size() == RefusedClaimsKept) {
         entry.refused.erase(entry.refused.begin());
     }
     entry.refused.emplace_back(claim.grant());
-    return refused(std::move(why));
+    return refused(std::move(reason));
 }
 
 FoldResult LedgerFold::applyClaim(const wire::GrantClaim &claim, const Incarnation &writer)
@@ -214,46 +215,46 @@
     return accepted();
 }
 
-LedgerGrant *LedgerFold::openGrant(const std::string &id)
+LedgerGrant *LedgerFold::findOpenGrant(const std::string &id)
 {
     const auto found = grants_.find(GrantId(id));
     if (found == grants_.end()) {
         return nullptr;
     }
-    // Of a seal, a rewitness and a close that race, the log's first decides what may
-    // still be spent; a second one would hand out the same tokens once more.
+    // Among a concurrent seal, rewitness and close, the first in the log decides what may still be
+    // spent; a second one would allocate the same tokens again.
     if (safeguards_.firstEndWins && found->second.ended) {
         return nullptr;
     }
     return &found->second;
 }
 
-FoldResult LedgerFold::applyReturn(const wire::GrantReturn &giveBack, const Incarnation &writer)
+FoldResult LedgerFold::applyReturn(const wire::GrantReturn &grantReturn, const Incarnation &writer)
 {
-    LedgerGrant *grant = openGrant(giveBack.grant());
+    LedgerGrant *grant = findOpenGrant(grantReturn.grant());
     if (!grant) {
         return refused("no such grant, or it has ended");
     }
     if (grant->holder != writer) {
         return refused("only the holder returns");
     }
-    if (giveBack.tokens() > lessOrZero(grant->tokens, grant->baseSigned)) {
+    if (grantReturn.tokens() > saturatingSub(grant->tokens, grant->baseSigned)) {
         return refused("less would be left than the witness counts from");
     }
-    grant->tokens -= giveBack.tokens();
+    grant->tokens -= grantReturn.tokens();
     LedgerBudget &budget = budgets_[grant->workspace].budget;
-    budget.allocated = lessOrZero(budget.allocated, giveBack.tokens());
-    return accepted(giveBack.tokens());
+    budget.allocated = saturatingSub(budget.allocated, grantReturn.tokens());
+    return accepted(grantReturn.tokens());
 }
 
 FoldResult LedgerFold::applySeal(const wire::GrantSeal &seal, const Incarnation &writer)
 {
-    LedgerGrant *grant = openGrant(seal.grant());
+    LedgerGrant *grant = findOpenGrant(seal.grant());
     if (!grant) {
         return refused("no such grant, or it has ended");
     }
-    // A witness that was replaced, and was paused meanwhile, has not counted what the
-    // new one signed; its seal would refund tokens that the holder spends.
+    // A witness that was replaced while paused has not counted what the new one signed; its seal
+    // would refund tokens that the holder spends.
     if (safeguards_.firstEndWins && grant->witness != writer) {
         return refused("only the present witness seals");
     }
@@ -262,7 +263,7 @@
 
 FoldResult LedgerFold::applyRewitness(const wire::GrantRewitness &change, const Incarnation &writer)
 {
-    LedgerGrant *grant = openGrant(change.grant());
+    LedgerGrant *grant = findOpenGrant(change.grant());
     if (!grant) {
         return refused("no such grant, or it has ended");
     }
@@ -284,7 +285,7 @@
 
 FoldResult LedgerFold::applyClose(const wire::GrantClose &close, const Incarnation &writer)
 {
-    LedgerGrant *grant = openGrant(close.grant());
+    LedgerGrant *grant = findOpenGrant(close.grant());
     if (!grant) {
         return refused("no such grant, or it has ended");
     }
@@ -296,7 +297,7 @@
 
 FoldResult LedgerFold::applyAttest(const wire::GrantAttest &attest)
 {
-    LedgerGrant *grant = openGrant(attest.grant());
+    LedgerGrant *grant = findOpenGrant(attest.grant());
     if (!grant) {
         return refused("no such grant, or it has ended");
     }
@@ -309,15 +310,15 @@
 FoldResult LedgerFold::endGrant(LedgerGrant &grant, uint64_t used)
 {
     BudgetEntry &entry = budgets_[grant.workspace];
-    const uint64_t refund = lessOrZero(grant.tokens, used);
-    entry.budget.allocated = lessOrZero(entry.budget.allocated, refund);
+    const uint64_t refund = saturatingSub(grant.tokens, used);
+    entry.budget.allocated = saturatingSub(entry.budget.allocated, refund);
     if (!grant.ended) {
         unindex(grant);
         grant.ended = true;
         grant.baseSigned = used;
         std::erase(entry.live, grant.id);
         entry.ended.push_back(grant.id);
-        forgetOldest(entry);
+        trimEndedGrants(entry);
     }
     return accepted(refund);
 }
@@ -326,7 +327,7 @@
 {
     const uint64_t tokens = saturatingAdd(bill.prompt_tokens(), bill.completion_tokens());
     const BillId id{WorkspaceId(bill.workspace()), RequestId(bill.request())};
-    // Router, home keeper and a keeper that took over may each append the same bill.
+    // The router, the home keeper and a keeper that took over may each append the same bill.
     if (!bills_.emplace(id, tokens).second) {
         return refused("the request is billed");
     }
@@ -340,17 +341,17 @@
 {
     LedgerRun run{claim, writer, std::nullopt, offset};
     const RunId id{WorkspaceId(claim.workspace()), RunKey(claim.key())};
-    const auto [standing, isNew] = runs_.try_emplace(id, run);
+    const auto [existing, isNew] = runs_.try_emplace(id, run);
     if (isNew) {
         return accepted();
     }
-    // A claimer that says "not run" has promised never to send the call: the key is free
-    // again. Without this a caller whose claim landed too late, and who does as it was
-    // told and comes back under the same key, is told "not run" for ever.
-    if (!standing->second.keyAvailable()) {
+    // A claimer that reports "not run" has committed to never sending the call, so the key is free
+    // again. Otherwise a caller whose claim was appended too late, and who retries with the same
+    // key as instructed, would be told "not run" forever.
+    if (!existing->second.keyAvailable()) {
         return refused("the key is claimed");
     }
-    standing->second = std::move(run);
+    existing->second = std::move(run);
     return accepted();
 }
 
@@ -360,13 +361,13 @@
     if (found == runs_.end() || found->second.claim.attempt() != outcome.attempt()) {
         return refused("only the attempt that holds the claim has an outcome");
     }
-    // "May have run" is what is known without an outcome; a later word may settle it.
+    // "May have run" is also the assumption without an outcome; a later record may replace it.
     std::optional<wire::RunOutcome> &known = found->second.outcome;
     if (known && known->execution() != wire::MAY_HAVE_RUN) {
         return refused("the outcome is known");
     }
-    // Once it was said that the call may have run, nothing takes that back: the key would
-    // be freed for a second run.
+    // After a report that the call may have run, "not run" is refused: it would free the key for a
+    // second run.
     if (known && outcome.execution() == wire::NOT_RUN) {
         return refused("the call may have run");
     }
@@ -412,7 +413,7 @@
     eraseFrom(byWitness_, grant.witness, grant.id);
 }
 
-void LedgerFold::forgetOldest(BudgetEntry &entry)
+void LedgerFold::trimEndedGrants(BudgetEntry &entry)
 {
     if (entry.ended.size() <= EndedGrantsKept) {
         return;
@@ -467,8 +468,8 @@
     return result;
 }
 
-std::vector<const LedgerGrant *> LedgerFold::lookUp(const GrantIndex &index,
-                                                    const Incarnation &incarnation) const
+std::vector<const LedgerGrant *> LedgerFold::grantsIn(const GrantIndex &index,
+                                                      const Incarnation &incarnation) const
 {
     std::vector<const LedgerGrant *> result;
     const auto found = index.find(incarnation);
@@ -486,12 +487,12 @@
 
 std::vector<const LedgerGrant *> LedgerFold::grantsHeldBy(const Incarnation &incarnation) const
 {
-    return lookUp(byHolder_, incarnation);
+    return grantsIn(byHolder_, incarnation);
 }
 
 std::vector<const LedgerGrant *> LedgerFold::grantsWitnessedBy(const Incarnation &incarnation) const
 {
-    return lookUp(byWitness_, incarnation);
+    return grantsIn(byWitness_, incarnation);
 }
 
 bool LedgerFold::folded(const Incarnation &writer, uint64_t sequence) const
@@ -510,7 +511,7 @@
     state.set_config_version(entry.budget.configVersion);
     state.set_unmet_tokens(entry.budget.unmetTokens);
     state.set_billed_tokens(entry.budget.billed);
-    // Ended grants in the order of their ends, since the oldest is forgotten first.
+    // Ended grants in the order in which they ended, since the oldest is removed first.
     for (const GrantId &id : entry.ended) {
         *state.add_grants() = grantState(grants_.at(id));
     }
--- a/lib/Ledger/TokenHolder.cpp
+++ b/lib/Ledger/TokenHolder.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-/// A holder that only runs low is given this part of what its peer has, or nothing: else the
-/// fleet makes a move for a few tokens with each request.
-constexpr uint64_t LeastEvening = 8;
+/// Divisor of the minimum transfer to a holder whose tokens only run low, relative to the sender's
+/// tokens: otherwise the fleet would transfer a few tokens with each request.
+constexpr uint64_t MinTransferDivisor = 8;
 
-/// Peers that are asked at once: each may bring a part of what is needed.
-constexpr uint64_t AskedPeers = 8;
+/// Number of peers that receive a request at once: each may supply a part of the tokens.
+constexpr uint64_t PeersPerRequest = 8;
 
-/// Most holders assumed to claim a workspace's tokens per home: the home itself and hosts whose own
-/// demand is large enough.
+/// Assumed maximum number of holders per home that claim a workspace's tokens: the home itself and
+/// hosts with enough demand of their own.
 constexpr uint32_t MaxHoldersPerHome = 4;
 
 uint64_t scaled(uint64_t tokens, double factor)
@@ -44,12 +44,12 @@
 {
     for (const WorkspaceBudget &budget : budgets) {
         Account &account = accounts_
-                                   .try_emplace(budget.workspace, settings_.demandMemory,
-                                                settings_.fleetsMemory)
+                                   .try_emplace(budget.workspace, settings_.demandTimeConstant,
+                                                settings_.fleetUseTimeConstant)
                                    .first->second;
         if (budget.prepaid < account.prepaid) {
-            account.lowered = true;
-            giveBack(account, account.usable);
+            account.budgetLowered = true;
+            returnTokens(account, account.usable);
         }
         account.prepaid = budget.prepaid;
     }
@@ -63,22 +63,23 @@
     }
 }
 
-bool TokenHolder::leavesItToHomes(const WorkspaceId &workspace, const Account &account,
-                                  Instant now) const
+bool TokenHolder::reliesOnHomes(const WorkspaceId &workspace, const Account &account,
+                                Instant now) const
 {
     if (account.homes == 0 || account.isHome) {
         return false;
     }
-    const uint64_t own = scaled(account.typical, settings_.ownRequests);
-    if (account.typical == 0 || account.demand.over(bridged(workspace, account, now), now) < own) {
+    const uint64_t own = scaled(account.typicalReservation, settings_.minOwnRequests);
+    if (account.typicalReservation == 0
+        || account.demand.expectedTokens(coveredPeriod(workspace, account, now), now) < own) {
         return true;
     }
     // Limits the number of holders: if not every host may be one, a host must have at least an
     // equal share of the workspace's demand among them.
     const uint64_t maxHolders = maxHoldersOf(account);
-    const uint64_t ownDemand = account.demand.over(settings_.fleetsMemory, now);
-    const uint64_t fleetsUse = account.fleetsUse.over(settings_.fleetsMemory, now);
-    return maxHolders < holders_ && ownDemand * maxHolders < fleetsUse;
+    const uint64_t ownDemand = account.demand.expectedTokens(settings_.fleetUseTimeConstant, now);
+    const uint64_t fleetUse = account.fleetUse.expectedTokens(settings_.fleetUseTimeConstant, now);
+    return maxHolders < holderCount_ && ownDemand * maxHolders < fleetUse;
 }
 
 bool TokenHolder::reserve(const WorkspaceId &workspace, uint64_t tokens, Instant now)
@@ -87,9 +88,11 @@
     if (account == nullptr) {
         return true;
     }
-    account->typical = account->typical == 0 ? tokens : (7 * account->typical + tokens) / 8;
-    if (mayUse(*account, now) < tokens) {
-        account->shortOf = std::max(account->shortOf, tokens);
+    account->typicalReservation = account->typicalReservation == 0
+                                          ? tokens
+                                          : (7 * account->typicalReservation + tokens) / 8;
+    if (usableNow(*account, now) < tokens) {
+        account->requiredTokens = std::max(account->requiredTokens, tokens);
         return false;
     }
     account->usable -= tokens;
@@ -105,29 +108,31 @@
 
 uint64_t TokenHolder::rowLimit(const Allotment &row, Instant composedAt, Instant now) const
 {
-    // One that is too old tells whoever finds it nothing, and bounds nothing.
+    // A batch that is too old proves nothing about the holder to whoever reads it, and limits
+    // nothing.
     const Interval age = std::max(now - composedAt, Interval::zero());
-    return age < settings_.batchValidity ? row.usedAfter(age) : UINT64_MAX;
+    return age < settings_.batchValidity ? row.maxUsedAfter(age) : UINT64_MAX;
 }
 
-uint64_t TokenHolder::mayUse(const Account &account, Instant now) const
+uint64_t TokenHolder::usableNow(const Account &account, Instant now) const
 {
-    // Either batch may be the one that is found when this process has died.
-    uint64_t limit = rowLimit(account.written, writtenAt_, now);
+    // If this process terminates, either batch may be the one that is found.
+    uint64_t limit = rowLimit(account.written, lastBatchComposedAt_, now);
     if (inFlight_) {
-        limit = std::min(limit, rowLimit(account.flight, inFlight_->composedAt, now));
+        limit = std::min(limit, rowLimit(account.inFlight, inFlight_->composedAt, now));
     }
     if (limit == UINT64_MAX) {
         return account.usable;
     }
-    const uint64_t already = used(account);
-    // Tokens that came from peers beyond what the store says this holder has are free.
+    const uint64_t usedSoFar = used(account);
+    // Tokens from peers, beyond those that the store counts as this holder's, aren't limited by a
+    // row.
     const uint64_t beyond = account.usable - std::min(account.usable, account.owned);
-    const uint64_t left = limit - std::min(limit, already) + beyond;
+    const uint64_t left = limit - std::min(limit, usedSoFar) + beyond;
     return std::min(account.usable, left);
 }
 
-uint64_t TokenHolder::leftToUse(const WorkspaceId &workspace, const Account &account) const
+uint64_t TokenHolder::unusedTokens(const WorkspaceId &workspace, const Account &account) const
 {
     return account.prepaid - std::min(account.prepaid, table_.used(workspace));
 }
@@ -138,85 +143,90 @@
     table_.set(row, offset);
     const uint64_t after = table_.used(row.workspace);
     Account *account = find(row.workspace);
-    // What is read first was used long ago: taken for use of this moment, it would make each
-    // budget seem scarce to a process that has just started.
+    // Rows read at the start report past use: counted as current use, they would make each budget
+    // seem scarce to a process that has just started.
     if (account == nullptr || !caughtUp_) {
         return;
     }
     if (after > before) {
-        account->fleetsUse.add(after - before, now);
+        account->fleetUse.add(after - before, now);
     } else {
-        account->fleetsUse.remove(before - after, now);
+        account->fleetUse.remove(before - after, now);
     }
 }
 
 bool TokenHolder::isScarce(const WorkspaceId &workspace, const Account &account, Instant now) const
 {
-    const auto bridged = static_cast<double>(account.fleetsUse.over(settings_.horizon, now));
-    const auto left = static_cast<double>(leftToUse(workspace, account));
-    // A budget of which most is left isn't scarce, however fast it has begun to be used.
-    const double most = settings_.scarceRest * static_cast<double>(account.prepaid);
-    return left < most && left < bridged * settings_.scarceBelow;
+    const auto horizonUse =
+            static_cast<double>(account.fleetUse.expectedTokens(settings_.horizon, now));
+    const auto left = static_cast<double>(unusedTokens(workspace, account));
+    // A budget of which most remains isn't scarce, however fast its use has started.
+    const double maxTokens = settings_.scarceBudgetShare * static_cast<double>(account.prepaid);
+    return left < maxTokens && left < horizonUse * settings_.scarceHorizons;
 }
 
-uint64_t TokenHolder::windowOf(const WorkspaceId &workspace, const Account &account,
-                               Instant now) const
+uint64_t TokenHolder::usageWindow(const WorkspaceId &workspace, const Account &account,
+                                  Instant now) const
 {
-    const uint64_t forPeers = askedByPeers(account, now);
+    const uint64_t forPeers = tokensRequestedByPeers(account, now);
     if (isScarce(workspace, account, now)) {
-        return account.shortOf + forPeers;
+        return account.requiredTokens + forPeers;
     }
-    const uint64_t byDemand = account.demand.over(settings_.window, now);
-    // The next request of a workspace that is in use here needn't wait for a row; a larger
-    // one than usual does. Before the first one nobody knows its size.
+    const uint64_t byDemand = account.demand.expectedTokens(settings_.window, now);
+    // The next request of a workspace that is in use here needn't wait for a row, unless it is
+    // larger than usual. Before the first request the size is unknown.
     uint64_t next = 0;
-    if (account.typical == 0) {
-        next = scaled(target(workspace, account, now), settings_.firstWindow);
+    if (account.typicalReservation == 0) {
+        next = scaled(targetTokens(workspace, account, now), settings_.initialWindowShare);
     } else if (inUse(account, now)) {
-        next = account.typical + account.typical / 2;
+        next = account.typicalReservation + account.typicalReservation / 2;
     }
-    return std::max({byDemand, next, account.shortOf}) + forPeers;
+    return std::max({byDemand, next, account.requiredTokens}) + forPeers;
 }
 
-uint64_t TokenHolder::askedByPeers(const Account &account, Instant now)
+uint64_t TokenHolder::tokensRequestedByPeers(const Account &account, Instant now)
 {
     uint64_t tokens = 0;
-    for (const OpenAsk &ask : account.openAsks) {
-        tokens += now < ask.until ? ask.tokens : 0;
+    for (const OpenRequest &request : account.openRequests) {
+        tokens += now < request.until ? request.tokens : 0;
     }
     return tokens;
 }
 
-void TokenHolder::noteAsk(Account &account, uint64_t tokens, bool isRepeat, Instant now) const
+void TokenHolder::recordPeerRequest(Account &account, uint64_t tokens, bool isRepeat,
+                                    Instant now) const
 {
-    std::vector<OpenAsk> &asks = account.openAsks;
-    asks.erase(std::remove_if(asks.begin(), asks.end(),
-                              [now](const OpenAsk &ask) { return now >= ask.until; }),
-               asks.end());
-    // A repeated ask is for tokens already counted; a first one adds to what other peers asked for.
-    const uint64_t counted = isRepeat ? askedByPeers(account, now) : 0;
+    std::vector<OpenRequest> &requests = account.openRequests;
+    requests.erase(
+            std::remove_if(requests.begin(), requests.end(),
+                           [now](const OpenRequest &request) { return now >= request.until; }),
+            requests.end());
+    // A repeated request is for tokens that are already counted; a first one adds to those that
+    // other peers requested.
+    const uint64_t counted = isRepeat ? tokensRequestedByPeers(account, now) : 0;
     if (tokens > counted) {
-        asks.push_back({tokens - counted, now + settings_.lending});
+        requests.push_back({tokens - counted, now + settings_.openRequestRetention});
     }
 }
 
-void TokenHolder::noteMoved(Account &account, uint64_t tokens)
+void TokenHolder::recordTransfer(Account &account, uint64_t tokens)
 {
-    // An older ask is more likely to have been met elsewhere.
-    std::vector<OpenAsk> &asks = account.openAsks;
-    while (tokens > 0 && !asks.empty()) {
-        const uint64_t met = std::min(tokens, asks.back().tokens);
-        tokens -= met;
-        asks.back().tokens -= met;
-        if (asks.back().tokens == 0) {
-            asks.pop_back();
+    // An older request is more likely to have been served by another holder.
+    std::vector<OpenRequest> &requests = account.openRequests;
+    while (tokens > 0 && !requests.empty()) {
+        const uint64_t served = std::min(tokens, requests.back().tokens);
+        tokens -= served;
+        requests.back().tokens -= served;
+        if (requests.back().tokens == 0) {
+            requests.pop_back();
         }
     }
 }
 
 uint32_t TokenHolder::maxHoldersOf(const Account &account) const
 {
-    return account.homes == 0 ? holders_ : std::min(holders_, account.homes * MaxHoldersPerHome);
+    return account.homes == 0 ? holderCount_
+                              : std::min(holderCount_, account.homes * MaxHoldersPerHome);
 }
 
 bool TokenHolder::anyRowHasUnusedTokens() const
@@ -229,39 +239,41 @@
 
 bool TokenHolder::inUse(const Account &account, Instant now) const
 {
-    // After three times the memory a twentieth of a request's tokens is left.
-    return account.demand.over(settings_.demandMemory, now) > account.typical / 20;
+    // After three time constants a twentieth of a request's tokens is left.
+    return account.demand.expectedTokens(settings_.demandTimeConstant, now)
+           > account.typicalReservation / 20;
 }
 
-uint64_t TokenHolder::paceOf(const WorkspaceId &workspace, const Account &account,
-                             Instant now) const
+uint64_t TokenHolder::allowedUsePerSecond(const WorkspaceId &workspace, const Account &account,
+                                          Instant now) const
 {
-    const uint64_t demand = account.demand.over(std::chrono::seconds(1), now);
+    const uint64_t demand = account.demand.expectedTokens(std::chrono::seconds(1), now);
     const bool scarce = isScarce(workspace, account, now);
-    return scaled(demand, scarce ? settings_.scarcePace : settings_.paceFactor);
+    return scaled(demand, scarce ? settings_.scarcePaceFactor : settings_.paceFactor);
 }
 
-bool TokenHolder::limitDue(const WorkspaceId &workspace, const Account &account, Instant now) const
+bool TokenHolder::needsRewrite(const WorkspaceId &workspace, const Account &account,
+                               Instant now) const
 {
     const Allotment &written = account.written;
-    const uint64_t already = used(account);
-    // Without the store more was used than the last row says. A batch that didn't correct
-    // it would vouch for a row that is wrong.
-    if (already > written.maxUsed) {
+    const uint64_t usedSoFar = used(account);
+    // While the store was unreachable, more was used than the last row states. A batch that didn't
+    // correct that would confirm a wrong row.
+    if (usedSoFar > written.maxUsed) {
         return true;
     }
-    const uint64_t window = windowOf(workspace, account, now);
-    const uint64_t left = written.maxUsed - already;
-    const bool isShort = mayUse(account, now) < account.shortOf;
+    const uint64_t window = usageWindow(workspace, account, now);
+    const uint64_t left = written.maxUsed - usedSoFar;
+    const bool lacksTokens = usableNow(account, now) < account.requiredTokens;
     const bool canAllowMore = written.maxUsed < account.owned;
     const bool low = left < scaled(window, settings_.rewriteBelow);
-    const uint64_t usual = std::max(window, account.typical);
-    const uint64_t pace = paceOf(workspace, account, now);
-    // Far more than is needed: a process that is killed now would lose it.
+    const uint64_t usual = std::max(window, account.typicalReservation);
+    const uint64_t pace = allowedUsePerSecond(workspace, account, now);
+    // Much more than is needed: it would be lost if the process were killed now.
     const bool high = left > 3 * usual;
     const bool fast = written.usePerSecond > 2 * pace + usual;
     const bool slow = 2 * written.usePerSecond + usual < pace;
-    return high || (canAllowMore && (fast || slow || low || isShort));
+    return high || (canAllowMore && (fast || slow || low || lacksTokens));
 }
 
 void TokenHolder::settle(const WorkspaceId &workspace, uint64_t reserved, uint64_t spent,
@@ -274,62 +286,64 @@
     account->reserved -= reserved;
     account->spent += spent;
     account->usable += reserved - spent;
-    account->returnAt = now + settings_.leftoverRetention;
+    account->leftoverReturnAt = now + settings_.leftoverRetention;
     account->demand.remove(reserved - spent, now);
-    if (account->lowered) {
-        giveBack(*account, reserved - spent);
+    if (account->budgetLowered) {
+        returnTokens(*account, reserved - spent);
     }
 }
 
 void TokenHolder::setRequiredTokens(const WorkspaceId &workspace, uint64_t tokens)
 {
     if (Account *account = find(workspace)) {
-        account->shortOf = tokens;
-        account->askRounds = tokens == 0 ? 0 : account->askRounds;
+        account->requiredTokens = tokens;
+        account->requestRounds = tokens == 0 ? 0 : account->requestRounds;
     }
 }
 
-void TokenHolder::noLongerShort(const WorkspaceId &workspace)
+void TokenHolder::clearRequiredTokens(const WorkspaceId &workspace)
 {
     setRequiredTokens(workspace, 0);
 }
 
-uint64_t TokenHolder::mostIdle(const WorkspaceId &workspace, const Account &account) const
+uint64_t TokenHolder::maxIdleTokens(const WorkspaceId &workspace, const Account &account) const
 {
-    const uint64_t left = leftToUse(workspace, account);
+    const uint64_t left = unusedTokens(workspace, account);
     const double leftPart =
             static_cast<double>(left) / static_cast<double>(std::max<uint64_t>(account.prepaid, 1));
-    const double low = std::min(1.0, leftPart / settings_.idleLowRest);
-    return scaled(left, settings_.idleShare * leftPart * low * low);
+    const double low = std::min(1.0, leftPart / settings_.lowBudgetShare);
+    return scaled(left, settings_.maxIdleShare * leftPart * low * low);
 }
 
-Interval TokenHolder::bridged(const WorkspaceId &workspace, const Account &account,
-                              Instant now) const
+Interval TokenHolder::coveredPeriod(const WorkspaceId &workspace, const Account &account,
+                                    Instant now) const
 {
-    const uint64_t fleets = std::max(account.fleetsUse.over(settings_.horizon, now),
-                                     account.demand.over(settings_.horizon, now));
-    const uint64_t idle = mostIdle(workspace, account);
-    if (idle >= fleets) {
+    const uint64_t fleetDemand = std::max(account.fleetUse.expectedTokens(settings_.horizon, now),
+                                          account.demand.expectedTokens(settings_.horizon, now));
+    const uint64_t idle = maxIdleTokens(workspace, account);
+    if (idle >= fleetDemand) {
         return settings_.horizon;
     }
-    const double part = static_cast<double>(idle) / static_cast<double>(fleets);
+    const double part = static_cast<double>(idle) / static_cast<double>(fleetDemand);
     return std::chrono::duration_cast<Interval>(settings_.horizon * part);
 }
 
-uint64_t TokenHolder::target(const WorkspaceId &workspace, const Account &account,
-                             Instant now) const
+uint64_t TokenHolder::targetTokens(const WorkspaceId &workspace, const Account &account,
+                                   Instant now) const
 {
-    if (leavesItToHomes(workspace, account, now)) {
+    if (reliesOnHomes(workspace, account, now)) {
         return 0;
     }
-    const uint64_t byDemand = account.demand.over(bridged(workspace, account, now), now);
-    const uint64_t idle = mostIdle(workspace, account);
-    // Where the workspace is in use its next request needn't wait for the store.
-    const bool allMayHoldOne = account.typical * maxHoldersOf(account) <= idle;
-    const uint64_t next = allMayHoldOne && inUse(account, now) ? account.typical : 0;
-    // Once it is in use anywhere, demand says where its tokens belong. Floors at all of the
-    // hosts added up to twenty seconds' demand of a small workspace, lost when all died.
-    const uint32_t first = account.homes > 0 ? account.homes : holders_;
+    const uint64_t byDemand =
+            account.demand.expectedTokens(coveredPeriod(workspace, account, now), now);
+    const uint64_t idle = maxIdleTokens(workspace, account);
+    // Where the workspace is in use, its next request needn't wait for the store.
+    const bool allMayHoldOne = account.typicalReservation * maxHoldersOf(account) <= idle;
+    const uint64_t next = allMayHoldOne && inUse(account, now) ? account.typicalReservation : 0;
+    // Once the workspace is in use anywhere, demand determines where its tokens belong. Minimum
+    // holdings at all hosts amounted to twenty seconds of demand of a small workspace, which were
+    // lost when all hosts terminated.
+    const uint32_t first = account.homes > 0 ? account.homes : holderCount_;
     const bool holdsFirst = account.homes == 0 || account.isHome;
     const uint64_t initial =
             holdsFirst ? std::min(idle, scaled(account.prepaid, settings_.initialShare)) / first
@@ -348,37 +362,39 @@
     return allotted >= account->prepaid ? 0 : account->prepaid - allotted;
 }
 
-uint64_t TokenHolder::claimFor(const WorkspaceId &workspace, const Account &account,
-                               Instant now) const
+uint64_t TokenHolder::claimSize(const WorkspaceId &workspace, const Account &account,
+                                Instant now) const
 {
-    const uint64_t requested = account.shortOf + (account.isHome ? askedByPeers(account, now) : 0);
-    const uint64_t wanted = std::max(target(workspace, account, now), requested);
-    const bool isShort = account.usable < requested;
-    // The first round goes to a home, which answers sooner than a claim is read back.
-    if (isShort && account.askRounds < 2 && leavesItToHomes(workspace, account, now)) {
+    const uint64_t requested =
+            account.requiredTokens + (account.isHome ? tokensRequestedByPeers(account, now) : 0);
+    const uint64_t wanted = std::max(targetTokens(workspace, account, now), requested);
+    const bool lacksTokens = account.usable < requested;
+    // The first request goes to a home, which responds before a claim would be confirmed.
+    if (lacksTokens && account.requestRounds < 2 && reliesOnHomes(workspace, account, now)) {
         return 0;
     }
-    if (!isShort && account.usable >= scaled(wanted, settings_.refillBelow)) {
+    if (!lacksTokens && account.usable >= scaled(wanted, settings_.refillBelow)) {
         return 0;
     }
     const uint64_t left = unallotted(workspace);
-    const uint64_t fair = scaled(left, std::min(1.0, settings_.greed / maxHoldersOf(account)));
-    const uint64_t need = isShort ? requested - account.usable : 0;
-    const uint64_t most = std::min(left, std::max(fair, need));
-    return std::min(most, wanted - std::min(wanted, account.usable));
+    const uint64_t fair =
+            scaled(left, std::min(1.0, settings_.maxClaimFactor / maxHoldersOf(account)));
+    const uint64_t need = lacksTokens ? requested - account.usable : 0;
+    const uint64_t maxTokens = std::min(left, std::max(fair, need));
+    return std::min(maxTokens, wanted - std::min(wanted, account.usable));
 }
 
-void TokenHolder::giveBack(Account &account, uint64_t tokens)
+void TokenHolder::returnTokens(Account &account, uint64_t tokens)
 {
-    // Moved tokens count with their giver in the store: no more can be given back than
-    // the store says this holder has.
+    // In the store, transferred tokens count as their sender's: a holder can't return more than the
+    // store counts as its own.
     const uint64_t returned = std::min({tokens, account.usable, account.owned});
     if (returned == 0) {
         return;
     }
     account.usable -= returned;
     account.owned -= returned;
-    account.correct = true;
+    account.needsCorrection = true;
 }
 
 std::optional<std::vector<AllotmentRow>> TokenHolder::nextBatch(Instant now)
@@ -386,33 +402,36 @@
     if (!storeReachable_ || inFlight_) {
         return std::nullopt;
     }
-    Flight flight;
+    Batch flight;
     flight.composedAt = now;
     std::vector<AllotmentRow> rows;
     for (auto &[workspace, account] : accounts_) {
-        account.lowered = account.lowered && table_.allotted(workspace) > account.prepaid;
+        account.budgetLowered =
+                account.budgetLowered && table_.allotted(workspace) > account.prepaid;
         if (!stopping_) {
-            const uint64_t wanted = target(workspace, account, now);
-            const bool waits =
-                    account.shortOf > 0 || (account.isHome && askedByPeers(account, now) > 0);
-            if (!waits && account.usable > scaled(wanted, settings_.returnAbove)) {
-                giveBack(account, account.usable - wanted);
+            const uint64_t wanted = targetTokens(workspace, account, now);
+            const bool isWaiting = account.requiredTokens > 0
+                                   || (account.isHome && tokensRequestedByPeers(account, now) > 0);
+            if (!isWaiting && account.usable > scaled(wanted, settings_.returnAbove)) {
+                returnTokens(account, account.usable - wanted);
             }
         }
-        const uint64_t claim = stopping_ ? 0 : claimFor(workspace, account, now);
-        account.flight = account.written;
-        if (claim == 0 && !account.correct && !limitDue(workspace, account, now)) {
+        const uint64_t claim = stopping_ ? 0 : claimSize(workspace, account, now);
+        account.inFlight = account.written;
+        if (claim == 0 && !account.needsCorrection && !needsRewrite(workspace, account, now)) {
             continue;
         }
-        account.correct = false;
+        account.needsCorrection = false;
         const uint64_t total = account.owned + claim;
-        const uint64_t usedAtMost = used(account) + windowOf(workspace, account, now);
-        account.flight = {total, std::min(total, usedAtMost), paceOf(workspace, account, now)};
-        const AllotmentRow row{workspace, self_, account.flight};
+        const uint64_t usedAtMost = used(account) + usageWindow(workspace, account, now);
+        account.inFlight = {total, std::min(total, usedAtMost),
+                            allowedUsePerSecond(workspace, account, now)};
+        const AllotmentRow row{workspace, self_, account.inFlight};
         flight.rows.push_back({row, claim});
         rows.push_back(row);
     }
-    const bool heartbeatDue = now >= writtenAt_ + settings_.heartbeat && anyRowHasUnusedTokens();
+    const bool heartbeatDue =
+            now >= lastBatchComposedAt_ + settings_.heartbeat && anyRowHasUnusedTokens();
     if (rows.empty() && !heartbeatDue) {
         return std::nullopt;
     }
@@ -423,7 +442,7 @@
 void TokenHolder::onBatchWritten()
 {
     if (inFlight_ && inFlight_->rows.empty()) {
-        settleFlight();
+        completeBatch();
     }
 }
 
@@ -435,30 +454,30 @@
     }
     uint64_t last = 0;
     for (const RowInFlight &flight : inFlight_->rows) {
-        const std::optional<WrittenAllotment> written = table_.of(flight.row.workspace, self_);
+        const std::optional<StoredAllotment> written = table_.find(flight.row.workspace, self_);
         const bool found = written && written->allotment == flight.row.allotment
-                           && written->offset >= judgedThrough_ && written->offset < next;
+                           && written->offset >= evaluatedThrough_ && written->offset < next;
         if (!found) {
             return false;
         }
         last = std::max(last, written->offset);
     }
-    judgedThrough_ = last + 1;
-    settleFlight();
+    evaluatedThrough_ = last + 1;
+    completeBatch();
     return true;
 }
 
-void TokenHolder::settleFlight()
+void TokenHolder::completeBatch()
 {
-    const Flight flight = std::move(*inFlight_);
+    const Batch flight = std::move(*inFlight_);
     inFlight_.reset();
-    writtenAt_ = flight.composedAt;
+    lastBatchComposedAt_ = flight.composedAt;
     for (const RowInFlight &row : flight.rows) {
-        judge(row);
+        evaluateClaim(row);
     }
 }
 
-void TokenHolder::judge(const RowInFlight &flight)
+void TokenHolder::evaluateClaim(const RowInFlight &flight)
 {
     Account *account = find(flight.row.workspace);
     const uint64_t allotted = table_.allotted(flight.row.workspace);
@@ -467,19 +486,19 @@
     account->owned += granted;
     account->usable += granted;
     account->written = flight.row.allotment;
-    // Others count the whole claim until the row says what was taken of it.
-    account->correct = account->correct || granted < flight.claim;
+    // The other holders count the whole claim until the row states which part was accepted.
+    account->needsCorrection = account->needsCorrection || granted < flight.claim;
 }
 
-std::vector<AllotmentRow> TokenHolder::sealRows(const Incarnation &dead,
+std::vector<AllotmentRow> TokenHolder::sealRows(const Incarnation &ended,
                                                 std::optional<Interval> elapsed) const
 {
-    const bool keptToItsRows = elapsed && *elapsed < settings_.batchValidity;
+    const bool isBounded = elapsed && *elapsed < settings_.batchValidity;
     std::vector<AllotmentRow> rows;
-    for (AllotmentRow row : table_.rowsOf(dead)) {
+    for (AllotmentRow row : table_.rowsOf(ended)) {
         const Allotment &last = row.allotment;
         const uint64_t lost =
-                keptToItsRows ? std::min(last.tokens, last.usedAfter(*elapsed)) : last.tokens;
+                isBounded ? std::min(last.tokens, last.maxUsedAfter(*elapsed)) : last.tokens;
         const Allotment sealed{lost, lost, 0};
         if (sealed != last) {
             row.allotment = sealed;
@@ -491,98 +510,112 @@
 
 std::vector<TokenRequest> TokenHolder::peerRequests(Instant now)
 {
-    std::vector<TokenRequest> asks;
+    std::vector<TokenRequest> requests;
     for (auto &[workspace, account] : accounts_) {
-        const bool isShort = mayUse(account, now) < account.shortOf;
-        const uint64_t low = account.demand.over(settings_.demandMemory, now) / 2;
+        const bool lacksTokens = usableNow(account, now) < account.requiredTokens;
+        const uint64_t low = account.demand.expectedTokens(settings_.demandTimeConstant, now) / 2;
         const bool fromStore = storeReachable_ && unallotted(workspace) > 0;
         const bool runsLow =
-                !fromStore && account.usable < low && !leavesItToHomes(workspace, account, now);
-        if ((!isShort && !runsLow) || now < account.nextAskAt || stopping_) {
+                !fromStore && account.usable < low && !reliesOnHomes(workspace, account, now);
+        if ((!lacksTokens && !runsLow) || now < account.nextRequestAt || stopping_) {
             continue;
         }
-        // A request that waits asks as often as it can.
-        const uint32_t doublings = std::min(account.askedInVain, settings_.mostDoublings);
-        account.nextAskAt =
+        // While requests are waiting, peers are asked as often as allowed.
+        const uint32_t doublings =
+                std::min(account.unansweredRequests, settings_.maxBackoffDoublings);
+        account.nextRequestAt =
                 now
-                + (isShort ? settings_.askInterval : settings_.calmAskInterval * (1U << doublings));
-        ++account.askedInVain;
-        const uint64_t need = isShort ? account.shortOf - mayUse(account, now) : 0;
-        asks.push_back({workspace, need, account.usable,
-                        account.demand.over(std::chrono::seconds(1), now), account.askRounds});
-        account.askRounds += isShort ? 1 : 0;
+                + (lacksTokens ? settings_.urgentRequestInterval
+                               : settings_.routineRequestInterval * (1U << doublings));
+        ++account.unansweredRequests;
+        const uint64_t need = lacksTokens ? account.requiredTokens - usableNow(account, now) : 0;
+        requests.push_back({workspace, need, account.usable,
+                            account.demand.expectedTokens(std::chrono::seconds(1), now),
+                            account.requestRounds});
+        account.requestRounds += lacksTokens ? 1 : 0;
     }
-    return asks;
+    return requests;
 }
 
-uint64_t TokenHolder::transferOut(const TokenRequest &ask, Instant now)
+uint64_t TokenHolder::transferOut(const TokenRequest &request, Instant now)
 {
-    Account *account = find(ask.workspace);
+    Account *account = find(request.workspace);
     if (account == nullptr) {
         return 0;
     }
-    const bool asHome = account->isHome && ask.need > 0;
-    uint64_t gift = asHome ? giftOfHome(*account, ask, now) : evenGift(*account, ask, now);
-    const uint64_t movable = std::min(gift, mayUse(*account, now));
-    noteAsk(*account, asHome ? ask.need : gift, !asHome || ask.round > 0, now);
-    noteMoved(*account, movable);
-    gift = movable;
-    account->usable -= gift;
-    return gift;
+    const bool isHomeRequest = account->isHome && request.need > 0;
+    uint64_t amount = isHomeRequest ? transferFromHome(*account, request, now)
+                                    : balancingTransfer(*account, request, now);
+    const uint64_t movable = std::min(amount, usableNow(*account, now));
+    recordPeerRequest(*account, isHomeRequest ? request.need : amount,
+                      !isHomeRequest || request.round > 0, now);
+    recordTransfer(*account, movable);
+    amount = movable;
+    account->usable -= amount;
+    return amount;
 }
 
-uint64_t TokenHolder::giftOfHome(Account &account, const TokenRequest &ask, Instant now)
+uint64_t TokenHolder::transferFromHome(Account &account, const TokenRequest &request, Instant now)
 {
-    // What others ask for is demand here, also what can't be given now: the home holds for it.
-    if (ask.round == 0) {
-        account.demand.add(ask.need, now);
-        account.typical = account.typical == 0 ? ask.need : (7 * account.typical + ask.need) / 8;
+    // Tokens requested by peers count as demand here, even if they can't be transferred now: the
+    // home holds tokens for them.
+    if (request.round == 0) {
+        account.demand.add(request.need, now);
+        account.typicalReservation = account.typicalReservation == 0
+                                             ? request.need
+                                             : (7 * account.typicalReservation + request.need) / 8;
     }
-    // A part of what a request needs is of use only together with other homes' parts.
-    const bool enough = account.usable >= ask.need;
-    return enough || ask.round > 0 ? std::min(account.usable, ask.need) : 0;
+    // A part of the tokens that a request needs is useful only together with parts from other
+    // homes.
+    const bool enough = account.usable >= request.need;
+    return enough || request.round > 0 ? std::min(account.usable, request.need) : 0;
 }
 
-uint64_t TokenHolder::evenGift(const Account &account, const TokenRequest &ask, Instant now) const
+uint64_t TokenHolder::balancingTransfer(const Account &account, const TokenRequest &request,
+                                        Instant now) const
 {
-    if (account.shortOf > 0) {
+    if (account.requiredTokens > 0) {
         return 0;
     }
     const uint64_t usable = account.usable;
-    if (usable < account.typical && ask.need > 0) {
-        // Too little for a request here; together with what others give it may be
-        // enough for the one that waits there.
-        return usable >= ask.need / AskedPeers ? usable : 0;
-    }
-    // So much that both last equally long at their own demand.
-    const uint64_t perSecond = account.demand.over(std::chrono::seconds(1), now);
-    const auto mine = static_cast<double>(perSecond);
-    const auto theirs = static_cast<double>(ask.demandPerSecond);
-    const double both = std::max(mine + theirs, 1.0);
-    const double even =
-            (static_cast<double>(usable) * theirs - static_cast<double>(ask.usable) * mine) / both;
-    // A peer that only runs low gets a second's demand: eight are asked, and what a
-    // holder may move it may lose.
-    const uint64_t most = std::max(ask.need, ask.demandPerSecond);
-    uint64_t gift = std::min(most, static_cast<uint64_t>(std::max(0.0, even)));
-    // What runs low is evened out in few moves, not with every request.
-    if (ask.need == 0 && gift < std::min(usable, ask.demandPerSecond) / LeastEvening) {
-        gift = 0;
-    }
-    // A request that waits there goes before what may come here, but for the next one.
-    const uint64_t keep = inUse(account, now) ? std::max(account.typical, perSecond) : 0;
-    const bool spares = usable >= ask.need + keep;
-    return std::max(gift, spares ? ask.need : 0);
+    if (usable < account.typicalReservation && request.need > 0) {
+        // Too few tokens for a request here; together with those from other peers they may be
+        // enough for the request that waits there.
+        return usable >= request.need / PeersPerRequest ? usable : 0;
+    }
+    // The amount with which both holders' tokens last equally long at their own demand.
+    const uint64_t perSecond = account.demand.expectedTokens(std::chrono::seconds(1), now);
+    const auto ownDemand = static_cast<double>(perSecond);
+    const auto peerDemand = static_cast<double>(request.demandPerSecond);
+    const double totalDemand = std::max(ownDemand + peerDemand, 1.0);
+    const double balanced = (static_cast<double>(usable) * peerDemand
+                             - static_cast<double>(request.usable) * ownDemand)
+                            / totalDemand;
+    // A peer whose tokens only run low gets at most one second of demand: eight peers are asked,
+    // and all tokens that a holder may transfer may be lost with it.
+    const uint64_t maxTokens = std::max(request.need, request.demandPerSecond);
+    uint64_t amount = std::min(maxTokens, static_cast<uint64_t>(std::max(0.0, balanced)));
+    // Low tokens are balanced by few transfers instead of one with every request.
+    if (request.need == 0
+        && amount < std::min(usable, request.demandPerSecond) / MinTransferDivisor) {
+        amount = 0;
+    }
+    // A request that waits there has priority over requests that may arrive here, except for the
+    // next one.
+    const uint64_t ownNeed =
+            inUse(account, now) ? std::max(account.typicalReservation, perSecond) : 0;
+    const bool canSpare = usable >= request.need + ownNeed;
+    return std::max(amount, canSpare ? request.need : 0);
 }
 
 uint64_t TokenHolder::releaseLeftover(const WorkspaceId &workspace, Instant now)
 {
     Account *account = find(workspace);
-    if (account == nullptr || account->shortOf > 0 || now < account->returnAt
-        || !leavesItToHomes(workspace, *account, now)) {
+    if (account == nullptr || account->requiredTokens > 0 || now < account->leftoverReturnAt
+        || !reliesOnHomes(workspace, *account, now)) {
         return 0;
     }
-    // Tokens that the store counts as this holder's are given back by its row instead.
+    // Tokens that the store counts as this holder's are returned by its row instead.
     const uint64_t moved = account->usable - std::min(account->usable, account->owned);
     account->usable -= moved;
     return moved;
@@ -595,9 +628,9 @@
         return;
     }
     account->usable += tokens;
-    account->returnAt = now + settings_.leftoverRetention;
-    if (tokens >= account->typical / 4) {
-        account->askedInVain = 0;
+    account->leftoverReturnAt = now + settings_.leftoverRetention;
+    if (tokens >= account->typicalReservation / 4) {
+        account->unansweredRequests = 0;
     }
 }
 
@@ -605,7 +638,7 @@
 {
     stopping_ = true;
     for (auto &[workspace, account] : accounts_) {
-        giveBack(account, account.usable);
+        returnTokens(account, account.usable);
     }
 }
 
--- a/unittests/Ledger/ChargeTest.cpp
+++ b/unittests/Ledger/ChargeTest.cpp
@@ -1,4 +1,4 @@
-/// What each end of a request is charged.
+/// The charge for each outcome of a request.
 
 #include <gtest/gtest.h>
 
@@ -9,16 +9,16 @@
 namespace {
 
 constexpr uint64_t Prompt = 100;
-constexpr uint64_t MostOutput = 80;
+constexpr uint64_t MaxOutput = 80;
 constexpr uint64_t TokensPerEvent = 4;
 
 struct ChargeCase
 {
     const char *name;
-    std::vector<AttemptEnd> attempts;
-    uint64_t eventsPassedOn;
+    std::vector<AttemptOutcome> outcomes;
+    uint64_t eventsForwarded;
     uint64_t expected;
-    bool plainAnswerPassedOn = false;
+    bool nonStreamingResponseForwarded = false;
 };
 
 class Charge : public testing::TestWithParam<ChargeCase>
@@ -26,46 +26,55 @@
 
 const ChargeCase ChargeCases[] = {
         {"NeverSent", {}, 0, 0},
-        {"NotConnected", {AttemptEnd::NotConnected}, 0, 0},
-        {"RefusedAsNotExecuted", {AttemptEnd::NotExecuted}, 0, 0},
-        {"RefusedByAllAsNotExecuted", {AttemptEnd::NotExecuted, AttemptEnd::NotExecuted}, 0, 0},
-        {"CutBeforeTheFirstEvent", {AttemptEnd::ConnectionLost}, 0, 132},
-        {"CutInTheStream", {AttemptEnd::ConnectionLost}, 3, 144},
-        {"CancelledBeforeTheFirstEvent", {AttemptEnd::Cancelled}, 0, 132},
-        {"CancelledInTheStream", {AttemptEnd::Cancelled}, 3, 144},
-        {"DeadlineBeforeTheFirstEvent", {AttemptEnd::TimedOut}, 0, 132},
-        {"DeadlineInTheStream", {AttemptEnd::TimedOut}, 3, 144},
-        {"AnswerRejected", {AttemptEnd::ResponseRejected}, 0, 100},
-        {"FailedByTheEndpoint", {AttemptEnd::Failed}, 0, 100},
-        {"AnsweredWhole", {AttemptEnd::Completed}, 20, 180},
-        {"AnsweredInFewerEventsThanAllowed", {AttemptEnd::Completed}, 5, 120},
-        {"AnsweredWithALastEventThatIsntFull", {AttemptEnd::Completed}, 21, 180},
-        {"AnsweredPlainly", {AttemptEnd::Completed}, 0, 180, true},
-        {"PlainAnswerCutAfterItsFirstPart", {AttemptEnd::ConnectionLost}, 0, 180, true},
-        {"AnsweredAfterNotConnected", {AttemptEnd::NotConnected, AttemptEnd::Completed}, 5, 120},
-        {"AnsweredAfterNotExecuted", {AttemptEnd::NotExecuted, AttemptEnd::Completed}, 5, 120},
-        {"NotExecutedElsewhereAfterACut",
-         {AttemptEnd::ConnectionLost, AttemptEnd::NotExecuted},
+        {"NotConnected", {AttemptOutcome::NotConnected}, 0, 0},
+        {"NotExecuted", {AttemptOutcome::NotExecuted}, 0, 0},
+        {"NotExecutedByAll", {AttemptOutcome::NotExecuted, AttemptOutcome::NotExecuted}, 0, 0},
+        {"ConnectionLostBeforeFirstEvent", {AttemptOutcome::ConnectionLost}, 0, 132},
+        {"ConnectionLostInStream", {AttemptOutcome::ConnectionLost}, 3, 144},
+        {"CancelledBeforeFirstEvent", {AttemptOutcome::Cancelled}, 0, 132},
+        {"CancelledInStream", {AttemptOutcome::Cancelled}, 3, 144},
+        {"DeadlineBeforeFirstEvent", {AttemptOutcome::TimedOut}, 0, 132},
+        {"DeadlineInStream", {AttemptOutcome::TimedOut}, 3, 144},
+        {"ResponseRejected", {AttemptOutcome::ResponseRejected}, 0, 100},
+        {"FailedByEndpoint", {AttemptOutcome::Failed}, 0, 100},
+        {"Completed", {AttemptOutcome::Completed}, 20, 180},
+        {"CompletedWithFewerEventsThanAllowed", {AttemptOutcome::Completed}, 5, 120},
+        {"CompletedWithPartialLastEvent", {AttemptOutcome::Completed}, 21, 180},
+        {"NonStreamingResponse", {AttemptOutcome::Completed}, 0, 180, true},
+        {"NonStreamingResponseInterrupted", {AttemptOutcome::ConnectionLost}, 0, 180, true},
+        {"CompletedAfterNotConnected",
+         {AttemptOutcome::NotConnected, AttemptOutcome::Completed},
+         5,
+         120},
+        {"CompletedAfterNotExecuted",
+         {AttemptOutcome::NotExecuted, AttemptOutcome::Completed},
+         5,
+         120},
+        {"NotExecutedAfterConnectionLost",
+         {AttemptOutcome::ConnectionLost, AttemptOutcome::NotExecuted},
          0,
          132},
-        {"NotConnectedElsewhereAfterACutInTheStream",
-         {AttemptEnd::ConnectionLost, AttemptEnd::NotConnected},
+        {"NotConnectedAfterConnectionLostInStream",
+         {AttemptOutcome::ConnectionLost, AttemptOutcome::NotConnected},
          3,
          144},
-        {"StreamCutAndGoneOnWithElsewhere",
-         {AttemptEnd::ConnectionLost, AttemptEnd::Completed},
+        {"StreamResumedElsewhere",
+         {AttemptOutcome::ConnectionLost, AttemptOutcome::Completed},
          5,
          152},
-        {"RepeatedElsewhereAfterASilence", {AttemptEnd::Stalled, AttemptEnd::Completed}, 5, 152},
-        {"RepeatedElsewhereAfterAFailure", {AttemptEnd::Failed, AttemptEnd::Completed}, 5, 120},
-        {"CutTwice", {AttemptEnd::ConnectionLost, AttemptEnd::ConnectionLost}, 3, 144},
+        {"RetriedAfterStall", {AttemptOutcome::Stalled, AttemptOutcome::Completed}, 5, 152},
+        {"RetriedAfterFailure", {AttemptOutcome::Failed, AttemptOutcome::Completed}, 5, 120},
+        {"ConnectionLostTwice",
+         {AttemptOutcome::ConnectionLost, AttemptOutcome::ConnectionLost},
+         3,
+         144},
 };
 
-TEST_P(Charge, IsWhatMayHaveBeenUsed)
+TEST_P(Charge, CoversWhatMayHaveBeenUsed)
 {
     const ChargeCase &row = GetParam();
-    EXPECT_EQ(tokensToCharge({Prompt, MostOutput, TokensPerEvent, row.attempts, row.eventsPassedOn,
-                              row.plainAnswerPassedOn}),
+    EXPECT_EQ(tokensToCharge({Prompt, MaxOutput, TokensPerEvent, row.outcomes, row.eventsForwarded,
+                              row.nonStreamingResponseForwarded}),
               row.expected);
 }
 
--- a/unittests/Ledger/ElapsedBoundTest.cpp
+++ b/unittests/Ledger/ElapsedBoundTest.cpp
@@ -1,4 +1,5 @@
-/// How long a dead holder can have been without a batch, by clocks that nobody can set.
+/// The upper bound on the time that a terminated holder was without a batch, by clocks that can't
+/// be set.
 
 #include <gtest/gtest.h>
 
@@ -8,7 +9,7 @@
 
 namespace {
 
-PeerClockReadings livedOn(Millis span, Millis askedAfter = {})
+PeerClockReadings keptRunning(Millis span, Millis askedAfter = {})
 {
     const Incarnation process("p");
     return {process, process, Millis(70), Millis(70) + span, askedAfter};
@@ -30,22 +31,22 @@
 {};
 
 const BoundCase BoundCases[] = {
-        {"NobodyElse", {}, std::nullopt},
-        {"PeerThatLivedOn", {livedOn(Millis(1500))}, Millis(1500)},
-        {"PeersThatAllDiedAsWell",
+        {"NoPeers", {}, std::nullopt},
+        {"PeerThatKeptRunning", {keptRunning(Millis(1500))}, Millis(1500)},
+        {"AllPeersRestarted",
          {restarted(Millis(800)), restarted(Millis(900)), restarted(Millis(1000))},
          std::nullopt},
-        {"OnlyThoseThatLivedOnCount",
-         {restarted(Millis(100)), livedOn(Millis(1500))},
+        {"RestartedPeerIsIgnored",
+         {restarted(Millis(100)), keptRunning(Millis(1500))},
          Millis(1500)},
-        {"PausedOrCutOffPeerLoosensNoOthersBound",
-         {livedOn(Millis(9000)), livedOn(Millis(1500))},
+        {"SmallestBoundOfAllPeers",
+         {keptRunning(Millis(9000)), keptRunning(Millis(1500))},
          Millis(1500)},
-        {"LessTheTimeUntilItWasAsked", {livedOn(Millis(5500), Millis(4000))}, Millis(1500)},
-        {"SpanBelowZeroTellsNothing", {livedOn(Millis(300), Millis(400))}, std::nullopt},
+        {"TimeUntilRequestIsDeducted", {keptRunning(Millis(5500), Millis(4000))}, Millis(1500)},
+        {"NegativeSpanIsIgnored", {keptRunning(Millis(300), Millis(400))}, std::nullopt},
 };
 
-TEST_P(Bound, RestsOnPeersThatLivedOn)
+TEST_P(Bound, UsesOnlyPeersThatKeptRunning)
 {
     EXPECT_EQ(elapsedBound(GetParam().peers), GetParam().bound);
 }
--- a/unittests/Ledger/EscrowModelTest.cpp
+++ b/unittests/Ledger/EscrowModelTest.cpp
@@ -25,8 +25,8 @@
 
 constexpr int StepsPerRun = 250;
 
-/// How often each step comes, in the order of EscrowOp: work often enough that the
-/// budget is used up, faults often enough that they meet.
+/// The frequency of each step, in the order of EscrowOp: work often enough to use up the budget,
+/// faults often enough to coincide.
 constexpr std::array<std::size_t, static_cast<std::size_t>(EscrowOp::Count)> Weights = {
         30, 15, 15, 25, 4, 4, 40, 20, 20, 4, 2, 4, 2, 8, 1, 2, 1,
 };
@@ -48,11 +48,10 @@
             rc::gen::set(&EscrowCommand::choice, rc::gen::inRange<uint8_t>(0, 255)));
 }
 
-/// Three keepers share a budget. Messages and appends are lost, late and doubled, all
-/// of them may be paused, restarted or taken for dead at any step, and seals, new
-/// witnesses, returns and closes race. Whatever comes, no caller is served a token
-/// beyond the budget: what is spent and what could be spent stays within it.
-RC_GTEST_PROP(EscrowModel, NeverLetsMoreBeSpentThanTheBudget, ())
+/// Three keepers share a budget. Messages and appends are lost, delayed and duplicated, every
+/// keeper may be paused, restarted or suspected at any step, and seals, rewitnesses, returns and
+/// closes race. In any case spent and spendable tokens together stay within the budget.
+RC_GTEST_PROP(EscrowModel, NeverExceedsBudget, ())
 {
     const auto commands = *rc::gen::container<Commands>(StepsPerRun, anyCommand());
     EscrowWorld world;
@@ -63,8 +62,8 @@
     }
 }
 
-/// Each seed draws weights of its own (swarm testing): a run without restarts, or with
-/// suspicions all the time, gets where an even mixture hardly ever does.
+/// Each seed draws its own weights (swarm testing): a run without restarts, or with frequent
+/// suspicions, reaches states that a uniform mixture hardly ever reaches.
 std::vector<EscrowOp> swarmOps(std::mt19937_64 &random)
 {
     constexpr std::array<std::size_t, 4> Factors = {0, 1, 1, 4};
@@ -89,7 +88,7 @@
     return commands;
 }
 
-/// The first step after which more than the budget could be spent; none: 0.
+/// The first step after which more than the budget could be spent, or 0 if there is none.
 std::size_t overspendStep(const Commands &commands, GrantSafeguards grants, LedgerSafeguards ledger)
 {
     EscrowWorld world(grants, ledger);
@@ -102,7 +101,7 @@
     return 0;
 }
 
-TEST(EscrowModel, HoldsOverManySeeds)
+TEST(EscrowModel, NeverExceedsBudgetForManySeeds)
 {
     constexpr uint64_t Seeds = 5'000;
     for (uint64_t seed = 1; seed <= Seeds; ++seed) {
@@ -110,19 +109,19 @@
     }
 }
 
-/// Messages and appends are lost, late and doubled, but nobody dies or is taken for
-/// dead. After a planned stop of all, the log holds as given out exactly what was
-/// spent: no token is stranded.
-TEST(EscrowModel, StrandsNothingAtPlannedStops)
+/// Messages and appends are lost, delayed and duplicated, but no keeper restarts or is suspected.
+/// After a planned stop of all keepers, the tokens allocated in the log are exactly the spent ones:
+/// no token is stranded.
+TEST(EscrowModel, PlannedStopStrandsNoTokens)
 {
     constexpr uint64_t Seeds = 1'000;
-    const auto isDeath = [](const EscrowCommand &command) {
+    const auto isFailure = [](const EscrowCommand &command) {
         return command.op == EscrowOp::Restart || command.op == EscrowOp::SuspectHolder
                || command.op == EscrowOp::SuspectWitness;
     };
     for (uint64_t seed = 1; seed <= Seeds; ++seed) {
         Commands commands = seededCommands(seed);
-        std::erase_if(commands, isDeath);
+        std::erase_if(commands, isFailure);
         EscrowWorld world;
         for (const EscrowCommand &command : commands) {
             world.run(command);
@@ -132,19 +131,19 @@
     }
 }
 
-/// Leaves out what the overspend doesn't need.
+/// Removes the commands that the overspending doesn't need.
 Commands shrink(Commands commands, GrantSafeguards grants, LedgerSafeguards ledger)
 {
     commands.resize(overspendStep(commands, grants, ledger));
-    bool smaller = true;
-    while (smaller) {
-        smaller = false;
+    bool isShrinking = true;
+    while (isShrinking) {
+        isShrinking = false;
         for (std::size_t index = commands.size(); index-- > 0;) {
             Commands fewer = commands;
             fewer.erase(fewer.begin() + static_cast<std::ptrdiff_t>(index));
             if (overspendStep(fewer, grants, ledger) != 0) {
                 commands = std::move(fewer);
-                smaller = true;
+                isShrinking = true;
             }
         }
     }
@@ -160,40 +159,39 @@
     return text.str();
 }
 
-struct Without
+struct DisabledSafeguard
 {
     const char *name;
     GrantSafeguards grants;
     LedgerSafeguards ledger;
 };
 
-/// witnessKeepsItsCount needs a witness that comes back to the same grant, too rare
-/// for a random run: EscrowSearchTest shows it.
-const Without Withouts[] = {
+/// witnessKeepsCount requires a witness that returns to the same grant, which is too rare for a
+/// random run: EscrowSearchTest covers it.
+const DisabledSafeguard DisabledSafeguards[] = {
         {"HolderStopsWindowsFirst", {.holderStopsWindowsFirst = false}, {}},
         {"WitnessStopsSigningFirst", {.witnessStopsSigningFirst = false}, {}},
-        {"DropDoubles", {}, {.dropDoubles = false}},
+        {"DropDuplicates", {}, {.dropDuplicates = false}},
         {"FirstEndWins", {}, {.firstEndWins = false}},
 };
 
-class EscrowSafeguard : public testing::TestWithParam<Without>
+class EscrowSafeguard : public testing::TestWithParam<DisabledSafeguard>
 {};
 
-/// With one safeguard off, callers are served beyond the budget in some run; with all
-/// on, the very same run stays within it. So each safeguard is needed, and the check
-/// of the model sees what it is there to see.
-TEST_P(EscrowSafeguard, IsNeeded)
+/// With one safeguard disabled, some run overspends the budget; with all enabled, the same run
+/// doesn't. So each safeguard is needed, and the model detects the fault that it prevents.
+TEST_P(EscrowSafeguard, PreventsOverspending)
 {
-    constexpr uint64_t MostSeeds = 20'000;
-    const Without &without = GetParam();
-    for (uint64_t seed = 1; seed <= MostSeeds; ++seed) {
+    constexpr uint64_t MaxSeeds = 20'000;
+    const DisabledSafeguard &disabled = GetParam();
+    for (uint64_t seed = 1; seed <= MaxSeeds; ++seed) {
         const Commands commands = seededCommands(seed);
-        if (overspendStep(commands, without.grants, without.ledger) == 0) {
+        if (overspendStep(commands, disabled.grants, disabled.ledger) == 0) {
             continue;
         }
-        const Commands trace = shrink(commands, without.grants, without.ledger);
+        const Commands trace = shrink(commands, disabled.grants, disabled.ledger);
         RecordProperty("trace", asText(trace));
-        std::cout << without.name << " off, seed " << seed << ":" << asText(trace) << "\n";
+        std::cout << disabled.name << " off, seed " << seed << ":" << asText(trace) << "\n";
         EXPECT_EQ(overspendStep(trace, {}, {}), 0U);
         EXPECT_EQ(overspendStep(commands, {}, {}), 0U);
         return;
@@ -201,7 +199,7 @@
     FAIL() << "no run overspends without it: the model can't see what it is for";
 }
 
-INSTANTIATE_TEST_SUITE_P(Flags, EscrowSafeguard, testing::ValuesIn(Withouts),
+INSTANTIATE_TEST_SUITE_P(Flags, EscrowSafeguard, testing::ValuesIn(DisabledSafeguards),
                          [](const auto &row) { return std::string(row.param.name); });
 
 } // namespace
--- a/unittests/Ledger/EscrowSearchTest.cpp
+++ b/unittests/Ledger/EscrowSearchTest.cpp
@@ -13,7 +13,7 @@
 {
     const char *name;
     EscrowSearchBounds bounds;
-    std::size_t leastStates; ///< fewer: the search has lost moves
+    std::size_t minStates; ///< fewer: the search misses steps
 };
 
 constexpr EscrowSearchBounds Replacements = {
@@ -32,21 +32,21 @@
 class EscrowSearch : public testing::TestWithParam<Bounds>
 {};
 
-/// A budget of four tokens, all in one grant. In every run within the bounds, with any
-/// process paused at any step and any message or answer lost, late or doubled, what the
-/// holder may spend stays within what the log holds as given out.
-TEST_P(EscrowSearch, FindsNoOverspend)
+/// A budget of four tokens, all in one grant. In every run within the bounds, with any process
+/// paused at any step and any message or response lost, delayed or duplicated, the tokens that the
+/// holder may spend stay within those allocated in the log.
+TEST_P(EscrowSearch, NeverExceedsBudget)
 {
     const EscrowSearchResult result = searchEscrow(GetParam().bounds, {}, {});
     EXPECT_TRUE(result.trace.empty()) << fmt::format("{}", fmt::join(result.trace, "; "));
     std::cout << GetParam().name << ": " << result.states << " states\n";
-    EXPECT_GT(result.states, GetParam().leastStates);
+    EXPECT_GT(result.states, GetParam().minStates);
 }
 
 INSTANTIATE_TEST_SUITE_P(Bounds, EscrowSearch, testing::ValuesIn(AllBounds),
                          [](const auto &row) { return std::string(row.param.name); });
 
-struct Without
+struct DisabledSafeguard
 {
     const char *name;
     EscrowSearchBounds bounds;
@@ -54,28 +54,29 @@
     LedgerSafeguards ledger;
 };
 
-const Without Withouts[] = {
+const DisabledSafeguard DisabledSafeguards[] = {
         {"HolderStopsWindowsFirst", Replacements, {.holderStopsWindowsFirst = false}, {}},
         {"WitnessStopsSigningFirst", Replacements, {.witnessStopsSigningFirst = false}, {}},
-        {"WitnessKeepsItsCount", Replacements, {.witnessKeepsItsCount = false}, {}},
-        {"DropDoubles", Returns, {}, {.dropDoubles = false}},
+        {"WitnessKeepsCount", Replacements, {.witnessKeepsCount = false}, {}},
+        {"DropDuplicates", Returns, {}, {.dropDuplicates = false}},
         {"FirstEndWins", Ends, {}, {.firstEndWins = false}},
 };
 
-class EscrowSearchSafeguard : public testing::TestWithParam<Without>
+class EscrowSearchSafeguard : public testing::TestWithParam<DisabledSafeguard>
 {};
 
-/// With one safeguard off there is a run that overspends; the test prints the shortest.
-TEST_P(EscrowSearchSafeguard, IsNeeded)
+/// With one safeguard disabled, some run overspends; the test prints the shortest one.
+TEST_P(EscrowSearchSafeguard, PreventsOverspending)
 {
-    const Without &without = GetParam();
-    const EscrowSearchResult result = searchEscrow(without.bounds, without.grants, without.ledger);
-    std::cout << without.name << " off: " << fmt::format("{}", fmt::join(result.trace, "; "))
+    const DisabledSafeguard &disabled = GetParam();
+    const EscrowSearchResult result =
+            searchEscrow(disabled.bounds, disabled.grants, disabled.ledger);
+    std::cout << disabled.name << " off: " << fmt::format("{}", fmt::join(result.trace, "; "))
               << "\n";
     EXPECT_FALSE(result.trace.empty());
 }
 
-INSTANTIATE_TEST_SUITE_P(Flags, EscrowSearchSafeguard, testing::ValuesIn(Withouts),
+INSTANTIATE_TEST_SUITE_P(Flags, EscrowSearchSafeguard, testing::ValuesIn(DisabledSafeguards),
                          [](const auto &row) { return std::string(row.param.name); });
 
 } // namespace
--- a/unittests/Ledger/GrantHolderTest.cpp
+++ b/unittests/Ledger/GrantHolderTest.cpp
@@ -42,7 +42,7 @@
 
     GrantWitness &witness(const Incarnation &id) { return id == firstId_ ? first_ : second_; }
 
-    /// Does what the holder and the witnesses ask for, until nothing is left to do.
+    /// Performs the actions of the holder and the witnesses until there are none left.
     void settleActions()
     {
         bool busy = true;
@@ -68,18 +68,18 @@
             apply(writer, append->record);
             return;
         }
-        const auto &ask = std::get<RequestWindowAction>(action);
-        if (silent_.contains(ask.witness)) {
+        const auto &request = std::get<RequestWindowAction>(action);
+        if (unresponsive_.contains(request.witness)) {
             return;
         }
-        const SignOutcome outcome = witness(ask.witness)
-                                            .sign(ask.grant, self_, ask.receivedTokens,
-                                                  ask.wantTokens, fold_, logHeardAt_, now_);
+        const SignOutcome outcome = witness(request.witness)
+                                            .sign(request.grant, self_, request.receivedTokens,
+                                                  request.wantTokens, fold_, logHeardAt_, now_);
         if (const auto *total = std::get_if<uint64_t>(&outcome)) {
-            holder_.onWindow(ask.grant, ask.witness, *total, now_);
+            holder_.onWindow(request.grant, request.witness, *total, now_);
         } else {
             const bool final = !std::get<Verdict>(outcome).retryAt;
-            holder_.onWindowRefused(ask.grant, ask.witness, final, now_);
+            holder_.onWindowRefused(request.grant, request.witness, final, now_);
         }
     }
 
@@ -121,7 +121,7 @@
     Incarnation firstId_{"first"};
     Incarnation secondId_{"second"};
     std::vector<Incarnation> witnesses_{firstId_, secondId_};
-    std::set<Incarnation> silent_;
+    std::set<Incarnation> unresponsive_;
     GrantSettings settings_ = smallGrants();
     LedgerFold fold_;
     GrantHolder holder_{WorkspaceId("w"), self_, settings_};
@@ -135,7 +135,7 @@
     bool logReachable_ = true;
 };
 
-TEST_F(GrantHolderTest, ClaimsTakesAWindowReservesAndSettles)
+TEST_F(GrantHolderTest, ClaimsRequestsWindowReservesAndSettles)
 {
     const ReserveOutcome outcome = reserve("r", 50);
     ASSERT_TRUE(std::holds_alternative<ReservationDraws>(outcome));
@@ -150,23 +150,23 @@
     EXPECT_TRUE(holder_.settle(ReservationId("r"), 20, now_).empty()) << "settled twice";
 }
 
-TEST_F(GrantHolderTest, ReservesOnceForTheSameId)
+TEST_F(GrantHolderTest, ReservesOnceForSameId)
 {
     reserve("r", 50);
     reserve("r", 50);
     EXPECT_EQ(holder_.reservedTokens(), 50U);
 }
 
-TEST_F(GrantHolderTest, SpendsDirectlyWhereNoWitnessExists)
+TEST_F(GrantHolderTest, SpendsDirectlyWithoutWitness)
 {
     witnesses_.clear();
     EXPECT_TRUE(std::holds_alternative<ReservationDraws>(reserve("r", 50)));
     EXPECT_EQ(fold_.grantsHeldBy(self_).at(0)->witness, Incarnation());
 }
 
-/// A caller asks for more than the budget has left. Once everything is spent, it is
-/// told so and not to come back; while another holder has some, to come back later.
-TEST_F(GrantHolderTest, SaysSpentOnlyWhenNothingRemains)
+/// A caller requests more than the remaining budget. While another holder has tokens left, the
+/// refusal has a time to retry; once everything is spent, it has none.
+TEST_F(GrantHolderTest, ReportsBudgetSpentOnlyWhenNothingRemains)
 {
     apply("other", records::claim("o", "w", 600, "other", "first"));
     EXPECT_TRUE(std::holds_alternative<ReservationDraws>(reserve("r", 400)));
@@ -181,9 +181,9 @@
     EXPECT_FALSE(std::get<Verdict>(spent).retryAt.has_value());
 }
 
-/// The budget is all given out and the log falls silent: a top-up may stand there
-/// unheard, so that the caller is told to come back and not that all is spent.
-TEST_F(GrantHolderTest, DoesNotSaySpentWhileTheLogIsSilent)
+/// Guards against reporting a spent budget while the log is unreachable: the whole budget is
+/// allocated, but the log may contain a top-up that hasn't been read. The caller is told to retry.
+TEST_F(GrantHolderTest, DoesNotReportBudgetSpentWhileLogIsUnreachable)
 {
     reserve("r", 1000);
     holder_.settle(ReservationId("r"), 1000, now_);
@@ -193,9 +193,9 @@
     EXPECT_EQ(refusalOf(reserve("s", 1)), Reason::BudgetUnreachable);
 }
 
-/// Another keeper's claim is refused, since we hold what lies idle. We give it back
-/// once, and the other's next claim is met.
-TEST_F(GrantHolderTest, ReturnsWhatLiesIdleWhenOthersGoShort)
+/// Another keeper's claim is refused because this holder has idle tokens. It returns them once, and
+/// the other keeper's next claim is accepted.
+TEST_F(GrantHolderTest, ReturnsIdleTokensWhenOthersLackTokens)
 {
     reserve("r", 100);
     holder_.settle(ReservationId("r"), 1, now_);
@@ -210,12 +210,12 @@
               FoldOutcome::Accepted);
 }
 
-/// The witness dies. The holder names another one, with what it received as the
-/// base, and goes on spending from the same grant.
-TEST_F(GrantHolderTest, ReplacesADeadWitness)
+/// The witness fails. The holder names another one, with the received tokens as the base, and
+/// continues to spend from the same grant.
+TEST_F(GrantHolderTest, ReplacesFailedWitness)
 {
     reserve("r", 50);
-    silent_.insert(firstId_);
+    unresponsive_.insert(firstId_);
     holder_.onWitnessSuspected(firstId_, witnesses_, now_);
     settleActions();
     const LedgerGrant *grant = fold_.grantsHeldBy(self_).at(0);
@@ -225,10 +225,10 @@
     EXPECT_EQ(fold_.grantsHeldBy(self_).size(), 1U);
 }
 
-/// The only other host of the failure domain dies and is replaced. For some minutes the
-/// witness is one elsewhere; once the new one has been there for a while, it takes over,
-/// so that the next partition doesn't cut the holder off from its windows.
-TEST_F(GrantHolderTest, GoesBackToABetterWitness)
+/// The only other host of the failure domain fails and is replaced. For some minutes a host
+/// elsewhere is the witness; once the new host has been there for a while it becomes the witness,
+/// so that the next partition doesn't separate the holder from its windows.
+TEST_F(GrantHolderTest, ReturnsToPreferredWitness)
 {
     witnesses_ = {secondId_};
     reserve("r", 50);
@@ -241,9 +241,9 @@
     EXPECT_GE(fold_.grant(grant)->baseSigned, 50U) << "what is reserved counts as received";
 }
 
-/// The witness takes the holder for dead and seals. The holder, only paused, spends
-/// what it had received, and claims anew with another witness.
-TEST_F(GrantHolderTest, GoesOnAfterAWrongSeal)
+/// The witness suspects the holder, which is only paused, and seals its grant. The holder spends
+/// what it had received, and claims another grant with another witness.
+TEST_F(GrantHolderTest, ContinuesAfterMistakenSeal)
 {
     reserve("r", 50);
     first_.onHolderSuspected(self_, fold_, now_);
@@ -255,9 +255,9 @@
     EXPECT_LE(allocated(), 1000U);
 }
 
-/// The log falls silent for long. The witness opens the window step by step, at last
-/// to the whole grant, so that the holder serves on when the witness dies as well.
-TEST_F(GrantHolderTest, IsOpenedTheWholeGrantWhileTheLogIsSilent)
+/// The log is unreachable for a long time. The witness gradually widens the window up to the whole
+/// grant, so that the holder continues when the witness fails as well.
+TEST_F(GrantHolderTest, WindowGrowsToWholeGrantWhileLogIsUnreachable)
 {
     reserve("r", 10);
     EXPECT_LT(holder_.availableTokens(), 90U);
@@ -266,11 +266,11 @@
         tick(1s);
     }
     EXPECT_EQ(holder_.availableTokens(), 90U);
-    silent_.insert(firstId_);
+    unresponsive_.insert(firstId_);
     EXPECT_TRUE(std::holds_alternative<ReservationDraws>(reserve("s", 90)));
 }
 
-TEST_F(GrantHolderTest, DrainReturnsAllThatIsNotSpent)
+TEST_F(GrantHolderTest, DrainReturnsUnspentTokens)
 {
     reserve("r", 50);
     EXPECT_FALSE(holder_.drain(now_)) << "a request is open";
--- a/unittests/Ledger/LedgerModelTest.cpp
+++ b/unittests/Ledger/LedgerModelTest.cpp
@@ -14,7 +14,7 @@
     return *rc::gen::elementOf(names);
 }
 
-/// A record with any body, over so few names that rules meet.
+/// A record with any body. The few different names make records interact.
 wire::Record anyBody()
 {
     const std::vector<std::string> keepers = {"a", "b", "c"};
@@ -44,8 +44,8 @@
     }
 }
 
-/// A log as several writers leave it: each with its sequences in order, with copies of
-/// what was sent again and late copies in between.
+/// A log of several writers: each writer's sequences are in order, with immediate and delayed
+/// copies of resent records in between.
 std::vector<wire::Record> anyLog()
 {
     std::vector<wire::Record> log;
@@ -74,9 +74,9 @@
     }
 }
 
-/// A keeper that starts from a checkpoint, sent over the wire, must hold the same state
-/// as one that read the whole log: else the two decide differently about a claim.
-RC_GTEST_PROP(LedgerModel, CheckpointAndRestAreTheWhole, ())
+/// A keeper that starts from a checkpoint sent over the network must have the same state as one
+/// that read the whole log: otherwise they would decide differently about a claim.
+RC_GTEST_PROP(LedgerModel, CheckpointAndRemainingLogEqualWholeLog, ())
 {
     const std::vector<wire::Record> log = anyLog();
     LedgerFold whole;
@@ -93,23 +93,23 @@
     RC_ASSERT(resumed.checkpoint().SerializeAsString() == whole.checkpoint().SerializeAsString());
 }
 
-/// Appends whose answers were lost are sent again, at once or much later. However often
-/// each stands in the log, the state is that of the log with the first copies alone.
-RC_GTEST_PROP(LedgerModel, CopiesChangeNothing, ())
+/// Appends whose responses were lost are resent, immediately or much later. However many copies the
+/// log contains, the state equals that of the log with only the first copies.
+RC_GTEST_PROP(LedgerModel, DuplicatesChangeNothing, ())
 {
     const std::vector<wire::Record> log = anyLog();
-    std::vector<wire::Record> once;
-    LedgerFold doubled;
+    std::vector<wire::Record> firstCopies;
+    LedgerFold withDuplicates;
     for (const wire::Record &record : log) {
-        const FoldResult result = doubled.apply(record, doubled.nextOffset());
+        const FoldResult result = withDuplicates.apply(record, withDuplicates.nextOffset());
         if (result.outcome != FoldOutcome::Duplicate) {
-            once.push_back(record);
+            firstCopies.push_back(record);
         }
     }
-    LedgerFold plain;
-    foldAll(plain, once);
-    wire::LedgerState left = doubled.checkpoint();
-    wire::LedgerState right = plain.checkpoint();
+    LedgerFold withoutDuplicates;
+    foldAll(withoutDuplicates, firstCopies);
+    wire::LedgerState left = withDuplicates.checkpoint();
+    wire::LedgerState right = withoutDuplicates.checkpoint();
     // Copies take up offsets; nothing else may differ.
     for (wire::LedgerState *state : {&left, &right}) {
         state->clear_offset();
@@ -120,9 +120,9 @@
     RC_ASSERT(left.SerializeAsString() == right.SerializeAsString());
 }
 
-/// What is given out is exactly what live grants may spend and what ended ones have
-/// counted as spent, whatever order seals, returns, closes and attestations come in.
-RC_GTEST_PROP(LedgerModel, AllocatedIsWhatGrantsMaySpend, ())
+/// The allocated tokens are exactly those that open grants may spend and those that ended grants
+/// counted as spent, in any order of seals, returns, closes and attestations.
+RC_GTEST_PROP(LedgerModel, AllocatedEqualsSpendableTokensOfGrants, ())
 {
     LedgerFold fold;
     for (const wire::Record &record : anyLog()) {
--- a/unittests/Ledger/PowerLossTest.cpp
+++ b/unittests/Ledger/PowerLossTest.cpp
@@ -1,4 +1,5 @@
-/// After a loss of power of all hosts a budget serves on, as long as tokens of it were never used.
+/// After all hosts lost power, requests are served as long as the budget has tokens that were never
+/// used.
 
 #include <memory>
 #include <vector>
@@ -12,23 +13,23 @@
 
 namespace {
 
-const WorkspaceId W("w");
+const WorkspaceId Workspace("w");
 constexpr int Hosts = 8;
 constexpr Interval Step = std::chrono::milliseconds(100);
-constexpr int StepsASecond = 10;
-constexpr uint64_t TokensARequest = 100;
+constexpr int StepsPerSecond = 10;
+constexpr uint64_t TokensPerRequest = 100;
 constexpr int DaySeconds = 62;
 constexpr int PowerLostAt = 42;
-constexpr int LastSeconds = 4; // of the day, in which it is looked at who is served
-constexpr uint64_t DayTokens = uint64_t{Hosts} * StepsASecond * TokensARequest * DaySeconds;
+constexpr int LastSeconds = 4; // at the end of the day, when served requests are counted
+constexpr uint64_t DayTokens = uint64_t{Hosts} * StepsPerSecond * TokensPerRequest * DaySeconds;
 
-/// A fleet whose store takes each batch at once.
+/// A fleet whose store accepts each batch immediately.
 class Fleet
 {
 public:
     explicit Fleet(uint64_t prepaid) : prepaid_(prepaid) { startAll(); }
 
-    /// \p elapsed: what the new processes know of the time since the last batches
+    /// \p elapsed: the bound that the new processes have on the time since the last batches
     void losePower(std::optional<Interval> elapsed)
     {
         const std::vector<Incarnation> ended = processes_;
@@ -36,21 +37,22 @@
         for (std::size_t i = 0; i < ended.size(); ++i) {
             append(holders_[i]->sealRows(ended[i], elapsed));
         }
-        readBack();
+        readStore();
     }
 
-    /// Each host gets a request and writes what is due. \returns requests that were served.
+    /// Each host gets a request and writes its batch if one is due.
+    /// \returns the number of requests served.
     int step()
     {
         int served = 0;
         for (const auto &holder : holders_) {
-            if (holder->reserve(W, TokensARequest, now_)) {
-                holder->settle(W, TokensARequest, TokensARequest, now_);
+            if (holder->reserve(Workspace, TokensPerRequest, now_)) {
+                holder->settle(Workspace, TokensPerRequest, TokensPerRequest, now_);
                 ++served;
             }
         }
         for (const auto &holder : holders_) {
-            write(*holder);
+            writeBatch(*holder);
         }
         now_ += Step;
         return served;
@@ -66,7 +68,7 @@
             processes_.emplace_back(fmt::format("h{}-{}", i, starts_));
             holders_.push_back(std::make_unique<TokenHolder>(processes_.back()));
             TokenHolder &holder = *holders_.back();
-            holder.setBudgets({{W, prepaid_}}, now_);
+            holder.setBudgets({{Workspace, prepaid_}}, now_);
             holder.setHolderCount(Hosts);
             holder.setStoreReachable(true);
             for (std::size_t row = 0; row < log_.size(); ++row) {
@@ -76,11 +78,11 @@
         }
     }
 
-    void write(TokenHolder &writer)
+    void writeBatch(TokenHolder &writer)
     {
         append(writer.nextBatch(now_).value_or(std::vector<AllotmentRow>()));
         writer.onBatchWritten();
-        readBack();
+        readStore();
     }
 
     void append(const std::vector<AllotmentRow> &rows)
@@ -93,7 +95,7 @@
         }
     }
 
-    void readBack()
+    void readStore()
     {
         for (const auto &holder : holders_) {
             holder->onReadUpTo(log_.size() + 1);
@@ -108,34 +110,34 @@
     std::vector<std::unique_ptr<TokenHolder>> holders_;
 };
 
-void expectAQuarterServed(std::optional<Interval> elapsed)
+void expectQuarterServed(std::optional<Interval> elapsed)
 {
     constexpr uint64_t Prepaid = DayTokens * 85 / 100;
     Fleet fleet(Prepaid);
     uint64_t spent = 0;
     int servedLast = 0;
-    for (int step = 0; step < DaySeconds * StepsASecond; ++step) {
-        if (step == PowerLostAt * StepsASecond) {
+    for (int step = 0; step < DaySeconds * StepsPerSecond; ++step) {
+        if (step == PowerLostAt * StepsPerSecond) {
             fleet.losePower(elapsed);
         }
         const int served = fleet.step();
-        spent += static_cast<uint64_t>(served) * TokensARequest;
-        servedLast += step >= (DaySeconds - LastSeconds) * StepsASecond ? served : 0;
+        spent += static_cast<uint64_t>(served) * TokensPerRequest;
+        servedLast += step >= (DaySeconds - LastSeconds) * StepsPerSecond ? served : 0;
     }
     EXPECT_LE(spent, Prepaid);
     const bool usedUp = spent >= Prepaid * 97 / 100;
-    EXPECT_TRUE(usedUp || servedLast * 4 >= Hosts * StepsASecond * LastSeconds)
+    EXPECT_TRUE(usedUp || servedLast * 4 >= Hosts * StepsPerSecond * LastSeconds)
             << spent << " of " << Prepaid << " used, " << servedLast << " served at the end";
 }
 
-TEST(PowerLoss, LeavesAQuarterServedAsLongAsTokensWereNeverUsed)
+TEST(PowerLoss, QuarterIsServedWhileUnusedTokensRemain)
 {
-    expectAQuarterServed(std::nullopt);
+    expectQuarterServed(std::nullopt);
 }
 
-TEST(PowerLoss, LeavesAQuarterServedWherePeersThatLivedOnTellTheTime)
+TEST(PowerLoss, QuarterIsServedIfPeersKeptRunning)
 {
-    expectAQuarterServed(std::chrono::milliseconds(1700));
+    expectQuarterServed(std::chrono::milliseconds(1700));
 }
 
 class PowerLossNearTheEnd : public testing::TestWithParam<int>
@@ -148,13 +150,13 @@
     Fleet fleet(Prepaid);
     uint64_t spent = 0;
     bool isPowerLost = false;
-    for (int step = 0; step < DaySeconds * StepsASecond; ++step) {
+    for (int step = 0; step < DaySeconds * StepsPerSecond; ++step) {
         const uint64_t left = Prepaid - spent;
         if (!isPowerLost && left * 100 <= Prepaid * static_cast<uint64_t>(GetParam())) {
             isPowerLost = true;
             fleet.losePower(std::nullopt);
         }
-        spent += static_cast<uint64_t>(fleet.step()) * TokensARequest;
+        spent += static_cast<uint64_t>(fleet.step()) * TokensPerRequest;
     }
     ASSERT_TRUE(isPowerLost);
     EXPECT_LE(spent, Prepaid);
--- a/unittests/Ledger/TokenHolderFleetTest.cpp
+++ b/unittests/Ledger/TokenHolderFleetTest.cpp
@@ -21,15 +21,15 @@
 namespace {
 
 constexpr Interval Tick = std::chrono::milliseconds(25);
-constexpr Interval Patience = std::chrono::milliseconds(200);
+constexpr Interval RequestTimeout = std::chrono::milliseconds(200);
 constexpr Interval OneWayDelay = std::chrono::milliseconds(1);
-constexpr Interval StoreAnswerTime = std::chrono::milliseconds(4);
+constexpr Interval StoreResponseTime = std::chrono::milliseconds(4);
 constexpr Interval AppendTime = std::chrono::milliseconds(2); ///< per batch, one at a time
 constexpr Interval RequestDuration = std::chrono::milliseconds(400);
-constexpr std::size_t AskedAtOnce = 8;
+constexpr std::size_t PeersPerRequest = 8;
 constexpr std::size_t Workspaces = 12;
 constexpr std::size_t BusiestWorkspaceHost = 3;
-constexpr uint64_t LeastTokens = 1'000; // of a request
+constexpr uint64_t MinTokens = 1'000; // of a request
 constexpr uint64_t TokensSpread = 12'000;
 constexpr uint64_t RequestsPerSecondPerHost = 2;
 
@@ -77,16 +77,16 @@
         addRequest();
     }
 
-    void play(Interval span)
+    void simulate(Interval span)
     {
-        const Instant until = now_ + span;
-        while (!events_.empty() && events_.top().at <= until) {
+        const Instant deadline = now_ + span;
+        while (!events_.empty() && events_.top().at <= deadline) {
             const Event event = events_.top();
             events_.pop();
             now_ = event.at;
             event.run();
         }
-        now_ = until;
+        now_ = deadline;
     }
 
     uint64_t arrived() const { return arrived_; }
@@ -105,18 +105,18 @@
         }
     };
 
-    struct Waiting
+    struct PendingRequest
     {
         std::size_t workspace;
         uint64_t tokens;
-        Instant until;
+        Instant deadline;
     };
 
     struct Host
     {
         std::unique_ptr<TokenHolder> holder;
         std::size_t domain;
-        std::deque<Waiting> waiting;
+        std::deque<PendingRequest> pending;
         std::size_t read; ///< number of log rows read
         bool appending;
     };
@@ -158,13 +158,13 @@
         const std::size_t w = random_() % 3 == 0 ? 0 : random_() % Workspaces;
         const std::size_t host =
                 busiestOnOneHost_ && w == 0 ? BusiestWorkspaceHost : random_() % hosts_.size();
-        const uint64_t tokens = LeastTokens + random_() % TokensSpread;
+        const uint64_t tokens = MinTokens + random_() % TokensSpread;
         ++arrived_;
         if (!start(host, w, tokens)) {
-            hosts_[host].waiting.push_back({w, tokens, now_ + Patience});
-            updateShortOf(host, w);
-            write(host);
-            ask(host);
+            hosts_[host].pending.push_back({w, tokens, now_ + RequestTimeout});
+            updateRequiredTokens(host, w);
+            writeBatch(host);
+            requestTokens(host);
         }
     }
 
@@ -182,40 +182,40 @@
 
     void serve(std::size_t host)
     {
-        std::deque<Waiting> &waiting = hosts_[host].waiting;
-        for (auto next = waiting.begin(); next != waiting.end();) {
+        std::deque<PendingRequest> &pending = hosts_[host].pending;
+        for (auto next = pending.begin(); next != pending.end();) {
             const bool started = start(host, next->workspace, next->tokens);
-            const bool expired = !started && now_ >= next->until;
+            const bool expired = !started && now_ >= next->deadline;
             refused_ += expired ? 1 : 0;
             if (!started && !expired) {
                 ++next;
                 continue;
             }
             const std::size_t w = next->workspace;
-            next = waiting.erase(next);
-            updateShortOf(host, w);
+            next = pending.erase(next);
+            updateRequiredTokens(host, w);
         }
     }
 
-    void updateShortOf(std::size_t host, std::size_t w)
+    void updateRequiredTokens(std::size_t host, std::size_t w)
     {
         uint64_t tokens = 0;
-        for (const Waiting &waiting : hosts_[host].waiting) {
-            tokens += waiting.workspace == w ? waiting.tokens : 0;
+        for (const PendingRequest &pending : hosts_[host].pending) {
+            tokens += pending.workspace == w ? pending.tokens : 0;
         }
         hosts_[host].holder->setRequiredTokens(workspace(w), tokens);
     }
 
     void tick(std::size_t host)
     {
-        write(host);
-        ask(host);
+        writeBatch(host);
+        requestTokens(host);
         returnLeftovers(host);
         serve(host);
         at(now_ + Tick, [this, host] { tick(host); });
     }
 
-    void write(std::size_t host)
+    void writeBatch(std::size_t host)
     {
         if (hosts_[host].appending) {
             return;
@@ -229,8 +229,9 @@
         storeFreeAt_ = std::max(storeFreeAt_, now_) + AppendTime;
         at(storeFreeAt_,
            [this, rows = *rows] { log_.insert(log_.end(), rows.begin(), rows.end()); });
-        at(storeFreeAt_ + StoreAnswerTime, [this, host] { hosts_[host].holder->onBatchWritten(); });
-        at(storeFreeAt_ + 2 * StoreAnswerTime, [this, host] {
+        at(storeFreeAt_ + StoreResponseTime,
+           [this, host] { hosts_[host].holder->onBatchWritten(); });
+        at(storeFreeAt_ + 2 * StoreResponseTime, [this, host] {
             read(host);
             hosts_[host].appending = false;
             serve(host);
@@ -252,7 +253,7 @@
         at(now_ + readInterval(), [this, host] { readPeriodically(host); });
     }
 
-    std::size_t nearHome(std::size_t host, std::size_t w) const
+    std::size_t homeInOwnDomain(std::size_t host, std::size_t w) const
     {
         for (const std::size_t home : homes_[w]) {
             if (hosts_[home].domain == hosts_[host].domain) {
@@ -262,46 +263,48 @@
         return homes_[w].front();
     }
 
-    std::vector<std::size_t> addressees(std::size_t host, std::size_t w, const TokenRequest &ask)
+    std::vector<std::size_t> recipients(std::size_t host, std::size_t w,
+                                        const TokenRequest &request)
     {
-        if (ask.need > 0 && ask.round == 0) {
-            return {nearHome(host, w)};
+        if (request.need > 0 && request.round == 0) {
+            return {homeInOwnDomain(host, w)};
         }
-        if (ask.need > 0 && ask.round == 1) {
+        if (request.need > 0 && request.round == 1) {
             return homes_[w];
         }
         std::vector<std::size_t> chosen;
-        for (std::size_t i = 0; i < AskedAtOnce; ++i) {
-            chosen.push_back(next_++ % hosts_.size());
+        for (std::size_t i = 0; i < PeersPerRequest; ++i) {
+            chosen.push_back(nextPeer_++ % hosts_.size());
         }
         return chosen;
     }
 
-    void ask(std::size_t host)
+    void requestTokens(std::size_t host)
     {
-        for (const TokenRequest &ask : hosts_[host].holder->peerRequests(now_)) {
+        for (const TokenRequest &request : hosts_[host].holder->peerRequests(now_)) {
             std::size_t w = 0;
-            while (workspace(w) != ask.workspace) {
+            while (workspace(w) != request.workspace) {
                 ++w;
             }
-            for (const std::size_t to : addressees(host, w, ask)) {
+            for (const std::size_t to : recipients(host, w, request)) {
                 if (to != host) {
-                    at(now_ + OneWayDelay, [this, host, to, ask] { give(to, host, ask); });
+                    at(now_ + OneWayDelay,
+                       [this, host, to, request] { transfer(to, host, request); });
                 }
             }
         }
     }
 
-    void give(std::size_t from, std::size_t to, const TokenRequest &ask)
+    void transfer(std::size_t from, std::size_t to, const TokenRequest &request)
     {
-        const uint64_t tokens = hosts_[from].holder->transferOut(ask, now_);
-        if (tokens < ask.need) {
-            write(from);
+        const uint64_t tokens = hosts_[from].holder->transferOut(request, now_);
+        if (tokens < request.need) {
+            writeBatch(from);
         }
-        move(to, ask.workspace, tokens);
+        deliver(to, request.workspace, tokens);
     }
 
-    void move(std::size_t to, const WorkspaceId &workspace, uint64_t tokens)
+    void deliver(std::size_t to, const WorkspaceId &workspace, uint64_t tokens)
     {
         if (tokens > 0) {
             at(now_ + OneWayDelay, [this, to, workspace, tokens] {
@@ -314,8 +317,8 @@
     void returnLeftovers(std::size_t host)
     {
         for (std::size_t w = 0; w < Workspaces; ++w) {
-            move(nearHome(host, w), workspace(w),
-                 hosts_[host].holder->releaseLeftover(workspace(w), now_));
+            deliver(homeInOwnDomain(host, w), workspace(w),
+                    hosts_[host].holder->releaseLeftover(workspace(w), now_));
         }
     }
 
@@ -329,7 +332,7 @@
     std::priority_queue<Event> events_;
     uint64_t order_ = 0;
     Instant storeFreeAt_{};
-    std::size_t next_ = 0;
+    std::size_t nextPeer_ = 0;
     std::size_t batches_ = 0;
     uint64_t arrived_ = 0;
     uint64_t refused_ = 0;
@@ -353,10 +356,10 @@
     constexpr Interval WarmUp = std::chrono::seconds(5);
     constexpr Interval MeasuredTime = std::chrono::seconds(5);
     Fleet fleet(GetParam().hosts, GetParam().domains, GetParam().busiestOnOneHost);
-    fleet.play(WarmUp);
+    fleet.simulate(WarmUp);
     const uint64_t refused = fleet.refused();
     const std::size_t batches = fleet.batches();
-    fleet.play(MeasuredTime);
+    fleet.simulate(MeasuredTime);
     EXPECT_EQ(fleet.refused() - refused, 0U);
     // Half the capacity of the store.
     EXPECT_LE(fleet.batches() - batches, MeasuredTime / AppendTime / 2);
