--- a/include/sequoiagate/Ledger/GrantHolder.h
+++ b/include/sequoiagate/Ledger/GrantHolder.h
@@ -137,7 +137,7 @@
     bool isResponsePending(const Context &context) const;
     Verdict makeRefusal(uint64_t tokens, const Context &context) const;
     bool isBudgetExhausted(uint64_t tokens, const Context &context) const;
-    /// Tokens that this holder has or can still claim, and that nobody has reserved.
+    /// Tokens that this holder has or can still claim, and that aren't reserved.
     uint64_t remainingTokens(const LedgerBudget &budget, Instant now) const;
     void requestWindows(uint64_t tokens, Instant now);
     void submitClaim(uint64_t need, const Context &context);
--- a/include/sequoiagate/Ledger/TokenHolder.h
+++ b/include/sequoiagate/Ledger/TokenHolder.h
@@ -89,8 +89,9 @@
     double returnAbove = 2.5;
     /// Part of the budget held by all hosts together until demand is known.
     double initialShare = 0.15;
-    /// Limits a claim to this multiple of an equal share, over all hosts, of the unallotted tokens:
-    /// near the end of a budget the first claimer doesn't take the last tokens.
+    /// Limits a claim to this multiple of an equal share, over all hosts, of the unallotted tokens,
+    /// unless waiting requests need more: near the end of a budget the first claimer doesn't take
+    /// the last tokens.
     double maxClaimFactor = 3.0;
     /// Time constant for averaging demand: short enough to follow a workspace whose load rises
     /// within seconds.
@@ -182,12 +183,12 @@
     bool onReadUpTo(uint64_t next);
     bool batchInFlight() const { return inFlight_.has_value(); }
     /// Whether any row of this holder in the store leaves tokens unused. Otherwise no heartbeats
-    /// are written, and a successor has nothing to give back.
+    /// are written, and a successor has nothing to return.
     bool anyRowHasUnusedTokens() const;
     /// The rows that return what a terminated holder didn't use, and remove its demand.
     /// \p elapsed: upper bound on the time between its last batch and its end; nullopt if unknown,
     /// in which case all of its tokens count as spent.
-    /// \pre \p dead has ended
+    /// \pre the process \p ended has ended
     std::vector<AllotmentRow> sealRows(const Incarnation &ended,
                                        std::optional<Interval> elapsed) const;
 
@@ -198,7 +199,7 @@
     uint64_t transferOut(const TokenRequest &request, Instant now);
     void transferIn(const WorkspaceId &workspace, uint64_t tokens, Instant now);
     /// Releases unused tokens that came from peers, after `leftoverRetention` and only if this
-    /// host relies on homes. \returns how many to move to a home.
+    /// host relies on homes. \returns how many to transfer to a home.
     uint64_t releaseLeftover(const WorkspaceId &workspace, Instant now);
 
     /// Stops the process: returns all tokens that aren't reserved.
@@ -225,7 +226,7 @@
     struct OpenRequest
     {
         uint64_t tokens = 0;
-        Instant until{}; ///< until then the peer may request them again
+        Instant until{}; ///< kept until then, so that the peer can request them again
     };
 
     struct Account
@@ -244,8 +245,7 @@
         std::vector<OpenRequest> openRequests; ///< of peers that lack tokens, oldest first
         Allotment written;                     ///< by the last batch that is in the store
         Allotment inFlight;                    ///< by the batch in flight
-        bool budgetLowered =
-                false; ///< the budget was lowered, and the holders' totals still exceed it
+        bool budgetLowered = false;   ///< and the holders' totals still exceed the lower budget
         bool needsCorrection = false; ///< the row in the store differs from `owned`
         Instant leftoverReturnAt{};   ///< when unused transferred tokens go back to a home
         Instant nextRequestAt{};
@@ -295,7 +295,7 @@
                                  Instant now) const;
     uint64_t usageWindow(const WorkspaceId &workspace, const Account &account, Instant now) const;
     bool needsRewrite(const WorkspaceId &workspace, const Account &account, Instant now) const;
-    void evaluateClaim(const RowInFlight &flight);
+    void evaluateClaim(const RowInFlight &rowInFlight);
     void completeBatch();
 
     Incarnation self_;
--- a/lib/Ledger/Charge.cpp
+++ b/lib/Ledger/Charge.cpp
@@ -35,7 +35,7 @@
             std::find_if(std::begin(OutcomeRules), std::end(OutcomeRules),
                          [outcome](const OutcomeRule &each) { return each.outcome == outcome; });
     if (rule == std::end(OutcomeRules)) {
-        throw std::logic_error("an end of an attempt has no charge");
+        throw std::logic_error("an attempt outcome has no charge rule");
     }
     return *rule;
 }
--- a/lib/Ledger/GrantAccount.cpp
+++ b/lib/Ledger/GrantAccount.cpp
@@ -53,13 +53,14 @@
 
 void GrantAccount::draw(uint64_t tokens)
 {
-    assert(tokens <= available() && "only what the windows cover is drawn");
+    assert(tokens <= available() && "windows must cover the drawn tokens");
     reserved_ += tokens;
 }
 
 void GrantAccount::settle(uint64_t drawn, uint64_t spentTokens)
 {
-    assert(drawn <= reserved_ && spentTokens <= drawn && "a draw ends once, within its size");
+    assert(drawn <= reserved_ && spentTokens <= drawn
+           && "a draw is settled once, with at most its tokens");
     reserved_ -= drawn;
     spent_ += spentTokens;
 }
@@ -90,7 +91,7 @@
 
 void GrantAccount::relinquish(uint64_t tokens)
 {
-    assert(tokens <= returnable() && "what is reserved can't be given up");
+    assert(tokens <= returnable() && "reserved tokens can't be relinquished");
     // The cap is lowered before the return is appended: once the return is in the log, another
     // holder may spend the same tokens.
     cap_ -= tokens;
@@ -100,7 +101,8 @@
 
 void GrantAccount::changeWitness(const Incarnation &next, uint64_t allowance)
 {
-    assert(phase_ == Phase::Open && !pendingWitness_ && "one change of witness at a time");
+    assert(phase_ == Phase::Open && !pendingWitness_
+           && "only one change of witness may be pending");
     if (witness_.empty()) {
         received_ = std::min(cap_, spent_ + reserved_ + allowance);
     }
@@ -110,7 +112,7 @@
 
 void GrantAccount::close()
 {
-    assert(reserved_ == 0 && "a grant is closed when nothing is drawn on it");
+    assert(reserved_ == 0 && "a grant with reserved tokens can't be closed");
     phase_ = Phase::Closing;
 }
 
--- a/lib/Ledger/GrantHolder.cpp
+++ b/lib/Ledger/GrantHolder.cpp
@@ -118,7 +118,7 @@
         draws.draws.push_back({held.account.id(), part});
         missing -= part;
     }
-    assert(missing == 0 && "the caller has checked that the windows cover it");
+    assert(missing == 0 && "the caller must check that the windows cover the tokens");
     pendingRequests_.erase(id);
     reservations_.emplace(id, draws);
     return draws;
@@ -196,7 +196,7 @@
     if (found == reservations_.end()) {
         return {};
     }
-    assert(spent <= found->second.tokens && "a stream is cut at its reservation");
+    assert(spent <= found->second.tokens && "a stream ends at its reservation");
     uint64_t toSpend = std::min(spent, found->second.tokens);
     grantDemand_.remove(found->second.tokens - toSpend, now);
     windowDemand_.remove(found->second.tokens - toSpend, now);
@@ -205,7 +205,7 @@
         const uint64_t part = std::min(toSpend, draw.tokens);
         toSpend -= part;
         HeldGrant *held = find(draw.grant);
-        assert(held && "a grant with a reservation is kept");
+        assert(held && "a grant with reservations must not be removed");
         held->account.settle(draw.tokens, part);
         if (part > 0) {
             drawn.push_back({draw.grant, part});
@@ -312,7 +312,7 @@
 void GrantHolder::removeExpiredRequests(Instant now)
 {
     std::erase_if(pendingRequests_, [this, now](const auto &entry) {
-        return entry.second.until + settings_.maxReserveWait < now;
+        return entry.second.deadline + settings_.maxReserveWait < now;
     });
 }
 
--- a/lib/Ledger/TokenHolder.cpp
+++ b/lib/Ledger/TokenHolder.cpp
@@ -402,8 +402,8 @@
     if (!storeReachable_ || inFlight_) {
         return std::nullopt;
     }
-    Batch flight;
-    flight.composedAt = now;
+    Batch batch;
+    batch.composedAt = now;
     std::vector<AllotmentRow> rows;
     for (auto &[workspace, account] : accounts_) {
         account.budgetLowered =
@@ -427,7 +427,7 @@
         account.inFlight = {total, std::min(total, usedAtMost),
                             allowedUsePerSecond(workspace, account, now)};
         const AllotmentRow row{workspace, self_, account.inFlight};
-        flight.rows.push_back({row, claim});
+        batch.rows.push_back({row, claim});
         rows.push_back(row);
     }
     const bool heartbeatDue =
@@ -435,7 +435,7 @@
     if (rows.empty() && !heartbeatDue) {
         return std::nullopt;
     }
-    inFlight_ = std::move(flight);
+    inFlight_ = std::move(batch);
     return rows;
 }
 
@@ -453,9 +453,10 @@
         return false;
     }
     uint64_t last = 0;
-    for (const RowInFlight &flight : inFlight_->rows) {
-        const std::optional<StoredAllotment> written = table_.find(flight.row.workspace, self_);
-        const bool found = written && written->allotment == flight.row.allotment
+    for (const RowInFlight &rowInFlight : inFlight_->rows) {
+        const std::optional<StoredAllotment> written =
+                table_.find(rowInFlight.row.workspace, self_);
+        const bool found = written && written->allotment == rowInFlight.row.allotment
                            && written->offset >= evaluatedThrough_ && written->offset < next;
         if (!found) {
             return false;
@@ -469,25 +470,25 @@
 
 void TokenHolder::completeBatch()
 {
-    const Batch flight = std::move(*inFlight_);
+    const Batch batch = std::move(*inFlight_);
     inFlight_.reset();
-    lastBatchComposedAt_ = flight.composedAt;
-    for (const RowInFlight &row : flight.rows) {
+    lastBatchComposedAt_ = batch.composedAt;
+    for (const RowInFlight &row : batch.rows) {
         evaluateClaim(row);
     }
 }
 
-void TokenHolder::evaluateClaim(const RowInFlight &flight)
+void TokenHolder::evaluateClaim(const RowInFlight &rowInFlight)
 {
-    Account *account = find(flight.row.workspace);
-    const uint64_t allotted = table_.allotted(flight.row.workspace);
+    Account *account = find(rowInFlight.row.workspace);
+    const uint64_t allotted = table_.allotted(rowInFlight.row.workspace);
     const uint64_t excess = allotted > account->prepaid ? allotted - account->prepaid : 0;
-    const uint64_t granted = flight.claim - std::min(flight.claim, excess);
+    const uint64_t granted = rowInFlight.claim - std::min(rowInFlight.claim, excess);
     account->owned += granted;
     account->usable += granted;
-    account->written = flight.row.allotment;
+    account->written = rowInFlight.row.allotment;
     // The other holders count the whole claim until the row states which part was accepted.
-    account->needsCorrection = account->needsCorrection || granted < flight.claim;
+    account->needsCorrection = account->needsCorrection || granted < rowInFlight.claim;
 }
 
 std::vector<AllotmentRow> TokenHolder::sealRows(const Incarnation &ended,
