--- a/lib/Ledger/TokenHolder.cpp
+++ b/lib/Ledger/TokenHolder.cpp
@@ -547,11 +547,11 @@
     const bool isHomeRequest = account->isHome && request.need > 0;
     uint64_t amount = isHomeRequest ? transferFromHome(*account, request, now)
                                     : balancingTransfer(*account, request, now);
-    const uint64_t movable = std::min(amount, usableNow(*account, now));
+    const uint64_t transferable = std::min(amount, usableNow(*account, now));
     recordPeerRequest(*account, isHomeRequest ? request.need : amount,
                       !isHomeRequest || request.round > 0, now);
-    recordTransfer(*account, movable);
-    amount = movable;
+    recordTransfer(*account, transferable);
+    amount = transferable;
     account->usable -= amount;
     return amount;
 }
@@ -617,9 +617,9 @@
         return 0;
     }
     // Tokens that the store counts as this holder's are returned by its row instead.
-    const uint64_t moved = account->usable - std::min(account->usable, account->owned);
-    account->usable -= moved;
-    return moved;
+    const uint64_t transferred = account->usable - std::min(account->usable, account->owned);
+    account->usable -= transferred;
+    return transferred;
 }
 
 void TokenHolder::transferIn(const WorkspaceId &workspace, uint64_t tokens, Instant now)
--- a/unittests/Ledger/EscrowModelTest.cpp
+++ b/unittests/Ledger/EscrowModelTest.cpp
@@ -196,7 +196,7 @@
         EXPECT_EQ(overspendStep(commands, {}, {}), 0U);
         return;
     }
-    FAIL() << "no run overspends without it: the model can't see what it is for";
+    FAIL() << "no run overspends without the safeguard: the model doesn't detect its absence";
 }
 
 INSTANTIATE_TEST_SUITE_P(Flags, EscrowSafeguard, testing::ValuesIn(DisabledSafeguards),
--- a/unittests/Ledger/GrantHolderTest.cpp
+++ b/unittests/Ledger/GrantHolderTest.cpp
@@ -235,10 +235,10 @@
     const GrantId grant = fold_.grantsHeldBy(self_).at(0)->id;
     witnesses_ = {firstId_, secondId_};
     tick(1s);
-    EXPECT_EQ(fold_.grant(grant)->witness, secondId_) << "at once";
+    EXPECT_EQ(fold_.grant(grant)->witness, secondId_) << "replaced too early";
     tick(31s);
     EXPECT_EQ(fold_.grant(grant)->witness, firstId_);
-    EXPECT_GE(fold_.grant(grant)->baseSigned, 50U) << "what is reserved counts as received";
+    EXPECT_GE(fold_.grant(grant)->baseSigned, 50U) << "reserved tokens count as received";
 }
 
 /// The witness suspects the holder, which is only paused, and seals its grant. The holder spends
--- a/unittests/Ledger/TokenHolderModelTest.cpp
+++ b/unittests/Ledger/TokenHolderModelTest.cpp
@@ -190,13 +190,16 @@
         return settings;
     }
 
-    Millis modelTime() const { return std::chrono::duration_cast<Millis>(now_.time_since_epoch()); }
+    Millis simulatedTime() const
+    {
+        return std::chrono::duration_cast<Millis>(now_.time_since_epoch());
+    }
 
     /// Long after the epoch, so that it stays positive when it is set back.
     Clocks clocksOf(const Host &host) const
     {
-        return {modelTime() - host.bootedAt,
-                Millis(std::chrono::hours(9000)) + modelTime() + host.timeOfDayOffset};
+        return {simulatedTime() - host.bootedAt,
+                Millis(std::chrono::hours(9000)) + simulatedTime() + host.timeOfDayOffset};
     }
 
     std::optional<Interval> elapsedOf(const Host &host) const
@@ -629,7 +632,7 @@
                 // boot.
                 const Millis back(randomBelow(12'000));
                 other.bootedAt = chance(0.5) ? other.bootedAt + back
-                                             : modelTime() - Millis(randomBelow(100'000));
+                                             : simulatedTime() - Millis(randomBelow(100'000));
             }
             start(other, now_ + std::chrono::milliseconds(chance(0.5) ? randomBelow(3000) : 0));
         }
