--- a/unittests/Ledger/ChargeTest.cpp
+++ b/unittests/Ledger/ChargeTest.cpp
@@ -1,4 +1,4 @@
-/// What each end of a request is charged.
+/// The charge for each outcome of a request.
 
 #include <gtest/gtest.h>
 
@@ -9,16 +9,16 @@
 namespace {
 
 constexpr uint64_t Prompt = 100;
-constexpr uint64_t MostOutput = 80;
+constexpr uint64_t MaxOutput = 80;
 constexpr uint64_t TokensPerEvent = 4;
 
 struct ChargeCase
 {
     const char *name;
-    std::vector<AttemptOutcome> attempts;
-    uint64_t eventsPassedOn;
+    std::vector<AttemptOutcome> outcomes;
+    uint64_t eventsForwarded;
     uint64_t expected;
-    bool plainAnswerPassedOn = false;
+    bool nonStreamingResponseForwarded = false;
 };
 
 class Charge : public testing::TestWithParam<ChargeCase>
@@ -27,60 +27,54 @@
 const ChargeCase ChargeCases[] = {
         {"NeverSent", {}, 0, 0},
         {"NotConnected", {AttemptOutcome::NotConnected}, 0, 0},
-        {"RefusedAsNotExecuted", {AttemptOutcome::NotExecuted}, 0, 0},
-        {"RefusedByAllAsNotExecuted",
-         {AttemptOutcome::NotExecuted, AttemptOutcome::NotExecuted},
-         0,
-         0},
-        {"CutBeforeTheFirstEvent", {AttemptOutcome::ConnectionLost}, 0, 132},
-        {"CutInTheStream", {AttemptOutcome::ConnectionLost}, 3, 144},
-        {"CancelledBeforeTheFirstEvent", {AttemptOutcome::Cancelled}, 0, 132},
-        {"CancelledInTheStream", {AttemptOutcome::Cancelled}, 3, 144},
-        {"DeadlineBeforeTheFirstEvent", {AttemptOutcome::TimedOut}, 0, 132},
-        {"DeadlineInTheStream", {AttemptOutcome::TimedOut}, 3, 144},
-        {"AnswerRejected", {AttemptOutcome::ResponseRejected}, 0, 100},
-        {"FailedByTheEndpoint", {AttemptOutcome::Failed}, 0, 100},
-        {"AnsweredWhole", {AttemptOutcome::Completed}, 20, 180},
-        {"AnsweredInFewerEventsThanAllowed", {AttemptOutcome::Completed}, 5, 120},
-        {"AnsweredWithALastEventThatIsntFull", {AttemptOutcome::Completed}, 21, 180},
-        {"AnsweredPlainly", {AttemptOutcome::Completed}, 0, 180, true},
-        {"PlainAnswerCutAfterItsFirstPart", {AttemptOutcome::ConnectionLost}, 0, 180, true},
-        {"AnsweredAfterNotConnected",
+        {"NotExecuted", {AttemptOutcome::NotExecuted}, 0, 0},
+        {"NotExecutedByAll", {AttemptOutcome::NotExecuted, AttemptOutcome::NotExecuted}, 0, 0},
+        {"ConnectionLostBeforeFirstEvent", {AttemptOutcome::ConnectionLost}, 0, 132},
+        {"ConnectionLostInStream", {AttemptOutcome::ConnectionLost}, 3, 144},
+        {"CancelledBeforeFirstEvent", {AttemptOutcome::Cancelled}, 0, 132},
+        {"CancelledInStream", {AttemptOutcome::Cancelled}, 3, 144},
+        {"DeadlineBeforeFirstEvent", {AttemptOutcome::TimedOut}, 0, 132},
+        {"DeadlineInStream", {AttemptOutcome::TimedOut}, 3, 144},
+        {"ResponseRejected", {AttemptOutcome::ResponseRejected}, 0, 100},
+        {"FailedByEndpoint", {AttemptOutcome::Failed}, 0, 100},
+        {"Completed", {AttemptOutcome::Completed}, 20, 180},
+        {"CompletedWithFewerEventsThanAllowed", {AttemptOutcome::Completed}, 5, 120},
+        {"CompletedWithPartialLastEvent", {AttemptOutcome::Completed}, 21, 180},
+        {"NonStreamingResponse", {AttemptOutcome::Completed}, 0, 180, true},
+        {"NonStreamingResponseInterrupted", {AttemptOutcome::ConnectionLost}, 0, 180, true},
+        {"CompletedAfterNotConnected",
          {AttemptOutcome::NotConnected, AttemptOutcome::Completed},
          5,
          120},
-        {"AnsweredAfterNotExecuted",
+        {"CompletedAfterNotExecuted",
          {AttemptOutcome::NotExecuted, AttemptOutcome::Completed},
          5,
          120},
-        {"NotExecutedElsewhereAfterACut",
+        {"NotExecutedAfterConnectionLost",
          {AttemptOutcome::ConnectionLost, AttemptOutcome::NotExecuted},
          0,
          132},
-        {"NotConnectedElsewhereAfterACutInTheStream",
+        {"NotConnectedAfterConnectionLostInStream",
          {AttemptOutcome::ConnectionLost, AttemptOutcome::NotConnected},
          3,
          144},
-        {"StreamCutAndGoneOnWithElsewhere",
+        {"StreamResumedElsewhere",
          {AttemptOutcome::ConnectionLost, AttemptOutcome::Completed},
          5,
          152},
-        {"RepeatedElsewhereAfterASilence",
-         {AttemptOutcome::Stalled, AttemptOutcome::Completed},
-         5,
-         152},
-        {"RepeatedElsewhereAfterAFailure",
-         {AttemptOutcome::Failed, AttemptOutcome::Completed},
-         5,
-         120},
-        {"CutTwice", {AttemptOutcome::ConnectionLost, AttemptOutcome::ConnectionLost}, 3, 144},
+        {"RetriedAfterStall", {AttemptOutcome::Stalled, AttemptOutcome::Completed}, 5, 152},
+        {"RetriedAfterFailure", {AttemptOutcome::Failed, AttemptOutcome::Completed}, 5, 120},
+        {"ConnectionLostTwice",
+         {AttemptOutcome::ConnectionLost, AttemptOutcome::ConnectionLost},
+         3,
+         144},
 };
 
-TEST_P(Charge, IsWhatMayHaveBeenUsed)
+TEST_P(Charge, CoversWhatMayHaveBeenUsed)
 {
     const ChargeCase &row = GetParam();
-    EXPECT_EQ(tokensToCharge({Prompt, MostOutput, TokensPerEvent, row.attempts, row.eventsPassedOn,
-                              row.plainAnswerPassedOn}),
+    EXPECT_EQ(tokensToCharge({Prompt, MaxOutput, TokensPerEvent, row.outcomes, row.eventsForwarded,
+                              row.nonStreamingResponseForwarded}),
               row.expected);
 }
 
