--- a/include/sequoiagate/Edge/AcceptRetry.h
+++ b/include/sequoiagate/Edge/AcceptRetry.h
@@ -1,8 +1,8 @@
 #ifndef SEQUOIAGATE_EDGE_ACCEPTRETRY_H
 #define SEQUOIAGATE_EDGE_ACCEPTRETRY_H
 
-/// The wait before the next try of an accept that failed, for want of descriptors mostly. The
-/// connection stays in the listener's queue: trying again at once would keep the event loop busy.
+/// Delays the retry after a failed accept, which mostly fails for lack of file descriptors. The
+/// connection stays in the listener's queue, so an immediate retry would keep the event loop busy.
 
 #include <chrono>
 #include <utility>
@@ -12,21 +12,21 @@
 
 namespace sequoiagate {
 
-/// Single-threaded: all calls from the io_context's thread.
+/// Single-threaded: to be used only on the io_context's thread.
 class AcceptRetry
 {
 public:
     explicit AcceptRetry(boost::asio::io_context &io) : timer_(io) {}
 
-    /// Calls \p accept after the wait, unless this object is gone by then.
+    /// Calls \p accept after the delay, unless this object is destroyed first.
     template <typename Accept>
     void arm(Accept accept)
     {
-        timer_.arm(std::chrono::steady_clock::now() + Wait, std::move(accept));
+        timer_.arm(std::chrono::steady_clock::now() + RetryDelay, std::move(accept));
     }
 
 private:
-    static constexpr Interval Wait = std::chrono::milliseconds(100);
+    static constexpr Interval RetryDelay = std::chrono::milliseconds(100);
 
     DeadlineTimer timer_;
 };
--- a/include/sequoiagate/Edge/Edge.h
+++ b/include/sequoiagate/Edge/Edge.h
@@ -1,15 +1,16 @@
 #ifndef SEQUOIAGATE_EDGE_EDGE_H
 #define SEQUOIAGATE_EDGE_EDGE_H
 
-/// The edge as one process: callers on one side, endpoints on the other, the platform's
-/// store behind. One thread, one event loop; what must last is in the store.
+/// The edge process: forwards callers' requests to endpoints, and keeps its persistent state in
+/// the platform's store. It runs one event loop on one thread.
 ///
-/// Ready means: a configuration and the endpoints are known, and no stop was asked for. A
-/// stop closes nothing that is open: the balancer is told first, callers that still come
-/// are served, tokens go back to the store, and the process ends when all is answered.
+/// The process is ready when it has read a configuration and the endpoints, isn't stopping, and
+/// its network link isn't overloaded. A stop is graceful: readiness ends first, so that the load
+/// balancer sends no more callers; those that still arrive are served; when all requests have
+/// ended, unused tokens are returned to the store and the process exits.
 ///
-/// An exception that leaves a handler begins the same stop: ended at once, the process would
-/// cut off all requests of its host for the fault of one.
+/// An exception that escapes a handler starts the same graceful stop, since an immediate exit
+/// would abort all requests of the host because one failed.
 
 #include <exception>
 #include <memory>
@@ -41,43 +42,43 @@
 class Edge
 {
 public:
-    /// Listens at once, but isn't ready yet.
-    /// \throws SettingsError for an address that can't be read,
-    ///     boost::system::system_error for one that can't be had
-    /// \param reread reads the settings anew, on SIGHUP; may throw SettingsError
+    /// Binds its addresses; the process isn't ready yet.
+    /// \throws SettingsError for a malformed address,
+    ///     boost::system::system_error for one that can't be bound
+    /// \param reread reads the settings again on SIGHUP; may throw SettingsError
     Edge(EdgeSettings settings, EdgeAdapter &adapter, EventLog &log,
          std::function<EdgeSettings()> reread);
     ~Edge();
 
-    /// Runs until a planned stop has ended. \returns connections that it had to cut.
-    /// \throws what a handler threw, once the stop that it began has ended
+    /// Runs until a stop has completed. \returns the number of connections that it had to abort.
+    /// \throws the last exception that escaped a handler, after the stop that it started
     std::size_t run();
 
 private:
-    /// \returns whether the event loop came to its end
+    /// \returns false if an exception escaped a handler
     bool runUntilFailure();
     void accept();
     void onConfigRows(const std::vector<StoreRow> &rows);
-    void adopt(const StoreRow &row);
+    void applyConfig(const StoreRow &row);
     void onEndpointRows(const std::vector<StoreRow> &rows, bool whole);
-    void onStoreReachable(const char *what, bool reachable, StoreOutcome outcome);
+    void onReachabilityChanged(const char *topicName, bool reachable, StoreOutcome outcome);
     bool configIsCurrent() const;
     bool ready();
-    bool sheds();
+    bool isShedding();
     void awaitSignals();
     void reload();
     void beginStop();
     void checkStop();
     void drainCallers();
-    void cutOffCallers(Instant now);
+    void abortCallers(Instant now);
     void tick();
-    void noteLoopLag(Instant now);
+    void recordLoopLag(Instant now);
     void updateGauges();
 
     EdgeSettings settings_;
     EdgeAdapter &adapter_;
     EventLog &log_;
-    std::function<EdgeSettings()> reread_;
+    std::function<EdgeSettings()> reloadSettings_;
     Metrics metrics_;
     boost::asio::io_context io_;
     boost::asio::ip::tcp::acceptor acceptor_;
@@ -91,7 +92,7 @@
     std::unique_ptr<Store> store_;
     EndpointDirectory endpoints_;
     LinkLoad link_;
-    bool sheds_ = false; ///< callers are sent elsewhere, for the log
+    bool shedding_ = false; ///< as last logged
     std::unique_ptr<TokenService> tokens_;
     std::unique_ptr<ProxyContext> context_;
     std::unique_ptr<TopicFollower> configFollower_;
@@ -99,17 +100,17 @@
     std::unique_ptr<StatusServer> readyServer_;
     std::unique_ptr<StatusServer> metricsServer_;
     ServingConfigPtr config_;
-    bool newestConfigRead_ = false; ///< config_ is what the newest row says, or newer
+    bool newestConfigRead_ = false; ///< config_ is at least as new as the newest row
     std::set<std::shared_ptr<CallerConnection>> callers_;
     bool endpointsKnown_ = false;
-    bool returning_ = false; ///< tokens are being given back
+    bool returningTokens_ = false; ///< tokens are being returned to the store
     Instant acceptUntil_ = Never;
-    Instant cutAt_ = Never;
-    Instant closeAt_ = Never; ///< connections of callers that were told are closed then
-    Instant endAt_ = Never;   ///< the process ends then, whatever is left
+    Instant abortAt_ = Never;
+    Instant closeAt_ = Never; ///< aborted connections are closed then
+    Instant endAt_ = Never;   ///< the process exits then even if requests are open
     Instant tickDueAt_ = Never;
-    std::size_t cut_ = 0;
-    std::exception_ptr failure_; ///< of the last handler that threw
+    std::size_t abortedConnections_ = 0;
+    std::exception_ptr failure_; ///< thrown by the last handler that failed
 };
 
 } // namespace sequoiagate
--- a/include/sequoiagate/Edge/EdgeAdapter.h
+++ b/include/sequoiagate/Edge/EdgeAdapter.h
@@ -1,8 +1,8 @@
 #ifndef SEQUOIAGATE_EDGE_EDGEADAPTER_H
 #define SEQUOIAGATE_EDGE_EDGEADAPTER_H
 
-/// What a platform supplies to the edge: its dialect, its store, and how what it keeps
-/// there is decoded. An adapter translates and decides nothing.
+/// The interface between the edge and a platform: its HTTP dialect, its store, and the decoding
+/// of the rows in that store. Adapters only translate; they make no decisions.
 
 #include <memory>
 #include <stdexcept>
@@ -19,20 +19,21 @@
 
 namespace sequoiagate {
 
-/// A row that can't be read. It harms nothing else: what was known stays.
+/// A malformed row. It affects only what the row describes: a malformed configuration leaves the
+/// last one in force.
 class DecodeError : public std::runtime_error
 {
 public:
     using std::runtime_error::runtime_error;
 };
 
-/// Where in the store the platform's own rows are.
+/// The topics of the store that the edge reads and writes.
 struct PlatformTopics
 {
     std::string config;
     std::string configKey;
-    std::string endpoints; ///< one row an endpoint, its key the endpoint's id
-    std::string own;       ///< this program's rows
+    std::string endpoints; ///< one row per endpoint, keyed by the endpoint's id
+    std::string ledger;    ///< written by the edge itself, see LedgerRows.h
 };
 
 class EdgeAdapter
@@ -42,7 +43,7 @@
 
     virtual const Dialect &dialect() const = 0;
     virtual const PlatformTopics &topics() const = 0;
-    /// \pre io and pool outlive the store
+    /// \pre \p io and \p pool outlive the returned store
     virtual std::unique_ptr<Store> openStore(boost::asio::io_context &io, ConnectionPool &pool,
                                              const boost::asio::ip::tcp::endpoint &address) = 0;
     /// \throws DecodeError
--- a/include/sequoiagate/Edge/EdgeSettings.h
+++ b/include/sequoiagate/Edge/EdgeSettings.h
@@ -1,7 +1,7 @@
 #ifndef SEQUOIAGATE_EDGE_EDGESETTINGS_H
 #define SEQUOIAGATE_EDGE_EDGESETTINGS_H
 
-/// The settings of sequoia-edge; docs/Settings.md tells each one's unit and reason.
+/// The settings of sequoia-edge. docs/Settings.md documents their units and defaults.
 
 #include <string>
 
@@ -21,17 +21,18 @@
     std::string listenCallers;
     std::string listenReady;
     std::string listenPeers;
-    std::string announcePeers; ///< what peers send to; empty: listenPeers
-    std::string listenMetrics; ///< empty: none
+    std::string advertisePeers; ///< the address that peers send to; listenPeers if empty
+    std::string listenMetrics;  ///< not served if empty
     std::string store;
-    Interval stopGrace{};            ///< from the stop signal to the forced end
-    Interval readyGrace{};           ///< callers still come for so long after the stop signal
-    uint64_t linkBytesPerSecond = 0; ///< of the host's network link, each way; 0: unknown
+    Interval stopGrace{};  ///< from the stop signal to the forced exit
+    Interval readyGrace{}; ///< new callers are accepted this long after the stop signal
+    uint64_t linkBytesPerSecond =
+            0; ///< capacity of the host's link in each direction; 0 if unknown
     DistributedRetryBudgetSettings retries;
     TokenHolderSettings tokens;
 };
 
-/// \pre \p settings passed their schema.
+/// \pre \p settings are valid according to their schema.
 EdgeSettings edgeSettingsFrom(const nlohmann::json &settings);
 
 } // namespace sequoiagate
--- a/include/sequoiagate/Edge/EndpointDirectory.h
+++ b/include/sequoiagate/Edge/EndpointDirectory.h
@@ -1,13 +1,14 @@
 #ifndef SEQUOIAGATE_EDGE_ENDPOINTDIRECTORY_H
 #define SEQUOIAGATE_EDGE_ENDPOINTDIRECTORY_H
 
-/// The endpoints that the platform lists, and which of them a request goes to.
+/// Tracks the endpoints that the platform lists and selects one for each request.
 ///
-/// - One that says it is leaving, or whose entry is removed, gets no new work at once.
-/// - Entries lapse when their endpoints can't renew them, so a store that was away comes
-///   back with live endpoints' entries missing. They are back soon after; until then an
-///   endpoint whose entry went while the store was away, or just after, stays in use.
-/// - One that can't be reached, or whose address another one has, is left out for a while.
+/// - An endpoint that is draining or whose entry is removed gets no new requests from then on.
+/// - Entries expire when their endpoints can't renew them, so after an outage of the store the
+///   entries of live endpoints are missing until they are written again. An endpoint whose entry
+///   disappears during an outage or shortly after it therefore stays in use for a grace period.
+/// - An endpoint that is unreachable, or whose address now belongs to another one, is excluded for
+///   a while.
 
 #include <set>
 #include <string>
@@ -21,39 +22,41 @@
 
 namespace sequoiagate {
 
-/// Why an endpoint is no longer listed.
-enum class Delisting {
-    Removed,   ///< its entry was
-    Missing,   ///< the newest entries don't include it
-    Malformed, ///< its entry can't be read
+/// Why an endpoint was removed from the directory.
+enum class RemovalReason {
+    Removed,   ///< its entry was deleted
+    Missing,   ///< a snapshot of all entries doesn't include it
+    Malformed, ///< its entry can't be decoded
 };
 
 /// Single-threaded.
 class EndpointDirectory : public Placement
 {
 public:
-    /// Live endpoints write their entries anew within some two seconds of the store's
-    /// return; one that is still missing then has gone.
-    static constexpr Interval LapseGrace = std::chrono::milliseconds(2200);
-    /// An endpoint that can't be reached is tried again after this. A crashed one is
-    /// delisted after three heartbeats of a second or so; a cut one may be back any time.
-    static constexpr Interval UnreachableFor = std::chrono::milliseconds(1000);
+    /// How long after the store's return an endpoint without an entry stays in use. Live endpoints
+    /// rewrite their entries within about two seconds.
+    static constexpr Interval ExpiredEntryGrace = std::chrono::milliseconds(2200);
+    /// How long an unreachable endpoint is excluded before it is tried again. The entry of a
+    /// crashed endpoint is removed after three heartbeats of about a second, but one that was
+    /// partitioned may be reachable again at any time.
+    static constexpr Interval UnreachableRetryDelay = std::chrono::milliseconds(1000);
 
     EndpointDirectory(const DomainId &self, DistributedRetryBudgetSettings retries, EventLog &log);
 
-    /// An entry came or changed. In force with the next publish.
+    /// Adds or changes an entry. Takes effect with the next publish.
     void update(const EndpointEntry &entry, Instant now);
-    /// No longer lists \p id. An entry that may only have lapsed stays in use for a while.
-    void remove(const EndpointId &id, Delisting why, Instant now);
-    /// The newest entries of all were read; those that aren't in \p present were removed.
+    /// Removes \p id. An endpoint whose entry may merely have expired stays in use for
+    /// a grace period.
+    void remove(const EndpointId &id, RemovalReason reason, Instant now);
+    /// Removes the endpoints that aren't in \p present, the ids in a snapshot of all entries.
     void keepOnly(const std::vector<EndpointId> &present, Instant now);
     void setStoreReachable(bool reachable, Instant now);
-    /// Takes lapsed entries out when their time is over. Call some times a second.
+    /// Removes entries whose grace period is over. To be called several times a second.
     void tick(Instant now);
-    /// Puts what changed in force.
+    /// Makes changes visible to place().
     void publish(Instant now);
     void setProcesses(uint32_t count);
-    void setRetries(DistributedRetryBudgetSettings settings) { retries_.setSettings(settings); }
+    void setRetries(DistributedRetryBudgetSettings settings) { retryBudget_.setSettings(settings); }
     std::size_t size() const { return entries_.size(); }
     std::size_t usable() const;
 
@@ -67,28 +70,28 @@
     void onRequest(const ServiceId &service, Instant now) override;
 
 private:
-    void logServices();
+    void logServiceChanges();
 
-    struct Listed
+    struct ListedEndpoint
     {
         EndpointEntry entry;
         boost::asio::ip::tcp::endpoint address;
-        Instant goneAt = Never; ///< its entry lapsed; it is out from then on
-        Instant avoidUntil{};   ///< it couldn't be reached
+        Instant removeAt = Never; ///< end of the grace period after its entry disappeared
+        Instant excludedUntil{};  ///< not chosen before then, since it was unreachable
     };
 
     EventLog &log_;
-    EndpointSelector choice_;
-    DistributedRetryBudget retries_;
-    std::unordered_map<EndpointId, Listed> entries_;
-    std::set<ServiceId> served_; ///< services with a listed endpoint that takes new work
+    EndpointSelector selector_;
+    DistributedRetryBudget retryBudget_;
+    std::unordered_map<EndpointId, ListedEndpoint> entries_;
+    std::set<ServiceId> servedServices_; ///< services with an endpoint that isn't draining
     bool changed_ = false;
     bool storeReachable_ = false;
-    Instant storeBackAt_{};
+    Instant storeReachableSince_{};
 };
 
-/// The hash of what of a prompt other requests share: all parts but the last, which is the
-/// request's own. 0 if there is none.
+/// The hash of the part of a prompt that may be shared with other requests: all parts but the
+/// last, which is specific to the request. 0 if there is no such part.
 uint64_t sharedPromptHash(const std::vector<PromptPart> &prompt);
 
 } // namespace sequoiagate
--- a/include/sequoiagate/Edge/PeerLink.h
+++ b/include/sequoiagate/Edge/PeerLink.h
@@ -1,11 +1,11 @@
 #ifndef SEQUOIAGATE_EDGE_PEERLINK_H
 #define SEQUOIAGATE_EDGE_PEERLINK_H
 
-/// Datagrams between the fleet's processes: asking for tokens, and moving them.
+/// The UDP protocol between the fleet's processes: token requests and token transfers.
 ///
-/// A move is sent again until it is acknowledged, and its receiver takes it once. What is
-/// never acknowledged is lost to both: its giver can't know whether it arrived, and tokens
-/// that two have would be spent twice.
+/// A transfer is retransmitted until it is acknowledged, and its receiver applies it once. The
+/// tokens of a transfer that is never acknowledged are lost: the sender can't know whether they
+/// arrived, and tokens that both sides have could be spent twice.
 
 #include <array>
 #include <cstdint>
@@ -27,32 +27,32 @@
 
 namespace sequoiagate {
 
-/// Another host's process, as the store lists it.
+/// A process of another host, as listed in the store.
 struct Peer
 {
     HostId host;
     DomainId domain;
     Incarnation incarnation;
-    boost::asio::ip::udp::endpoint address; ///< to send to
-    boost::asio::ip::udp::endpoint listens; ///< bound by the process, and by no other meanwhile
+    boost::asio::ip::udp::endpoint address;       ///< datagrams to the process are sent here
+    boost::asio::ip::udp::endpoint listenAddress; ///< bound by this process alone while it runs
 };
 
-/// What a process has of a workspace's tokens.
+/// The tokens of a workspace that a process holds.
 struct HeldTokens
 {
     uint64_t usable = 0;
-    uint64_t reserved = 0; ///< for open requests, which may end with less
-    /// Whether what the process before it on its host had is still counted as used.
-    bool settling = false;
+    uint64_t reserved = 0; ///< for open requests, which may use fewer
+    /// Whether unused tokens of the previous process on its host may still be returned.
+    bool predecessorPending = false;
 };
 
-/// What a peer's clock since boot said when this process asked.
-struct ClockAnswer
+/// A peer's response to a request for its clock since boot.
+struct ClockResponse
 {
-    boost::asio::ip::udp::endpoint address; ///< that was asked
-    Incarnation process;                    ///< that answered
+    boost::asio::ip::udp::endpoint address; ///< the address the request was sent to
+    Incarnation process;                    ///< the process that responded
     Millis sinceBoot{};
-    Millis askedAfterStart{}; ///< as it was asked with
+    Millis requestedAfterStart{}; ///< time from the start of this process to the request
 };
 
 /// Single-threaded.
@@ -61,69 +61,72 @@
 public:
     struct Handlers
     {
-        /// A peer asks. \returns the tokens to move to it, which the holder has let go.
-        std::function<uint64_t(const TokenRequest &)> onAsk;
+        /// A peer requests tokens. \returns how many to transfer to it, already released by the
+        /// holder.
+        std::function<uint64_t(const TokenRequest &)> onTokenRequest;
         std::function<HeldTokens(const WorkspaceId &)> held;
-        std::function<void(const WorkspaceId &, uint64_t tokens)> onTokens;
-        /// A peer told its clock, as this process asked.
-        std::function<void(const ClockAnswer &)> onClock;
+        std::function<void(const WorkspaceId &, uint64_t tokens)> onTokensReceived;
+        /// A peer responded to a clock request of this process.
+        std::function<void(const ClockResponse &)> onClockResponse;
     };
 
-    /// \throws boost::system::system_error if the address can't be had
+    /// \throws boost::system::system_error if the address can't be bound
     PeerLink(boost::asio::io_context &io, const boost::asio::ip::udp::endpoint &listen,
              Incarnation self, DomainId domain, EventLog &log, Handlers handlers);
 
     void setPeers(std::vector<Peer> peers);
-    /// The hosts that hold \p workspace's tokens for others, this one left out.
+    /// Sets the hosts, other than this one, that hold tokens of \p workspace for the fleet.
     void setHomes(const WorkspaceId &workspace, std::vector<Peer> homes);
-    /// Asks for a request that waits: first the near home, then the others, then any peers.
-    /// Asks some peers else, others the next time.
-    void ask(const TokenRequest &ask);
-    /// Whether the near home of \p workspace has answered recently enough to move tokens to it.
-    bool homeAnsweredRecently(const WorkspaceId &workspace, Instant now) const;
-    /// Moves \p tokens, already released by the holder, to the near home.
+    /// Requests tokens from peers. For a waiting request, the first round goes to the home in this
+    /// failure domain, the second to all homes. All other requests go to a few peers in rotation.
+    void requestTokens(const TokenRequest &request);
+    /// Whether the first home of \p workspace, the one in this failure domain if any, has responded
+    /// recently enough to transfer tokens to it.
+    bool homeRespondedRecently(const WorkspaceId &workspace, Instant now) const;
+    /// Transfers \p tokens, already released by the holder, to that home.
     /// \pre homeAnsweredRecently
-    void moveToHome(const WorkspaceId &workspace, uint64_t tokens, Instant now);
-    /// Asks the process that is reached at \p address for its clock since boot, \p asked after the
-    /// start of this one.
-    void askClock(const boost::asio::ip::udp::endpoint &address, Millis asked);
-    /// Sends what isn't acknowledged again. Call some times a second.
+    void transferToHome(const WorkspaceId &workspace, uint64_t tokens, Instant now);
+    /// Requests the clock since boot of the process at \p address. \p sinceStart is the time since
+    /// the start of this process; the response repeats it.
+    void requestClock(const boost::asio::ip::udp::endpoint &address, Millis sinceStart);
+    /// Retransmits unacknowledged transfers. To be called several times a second.
     void tick(Instant now);
-    /// What peers said they have or may get back, if all of them answered since \p since and none
-    /// is settling; they may have given away or got some in the meantime.
-    std::optional<uint64_t> heldElsewhere(const WorkspaceId &workspace, Instant since) const;
-    std::size_t peers() const { return peers_.size(); }
+    /// The tokens that the peers last reported as usable or reserved; nullopt unless each of them
+    /// has reported since \p since and none expects tokens of a previous process. The sum may be
+    /// out of date, since tokens may have been transferred after the reports.
+    std::optional<uint64_t> heldByPeers(const WorkspaceId &workspace, Instant since) const;
+    std::size_t peerCount() const { return peers_.size(); }
 
 private:
-    struct Move
+    struct Transfer
     {
-        boost::asio::ip::udp::endpoint to;
-        std::string text;
+        boost::asio::ip::udp::endpoint destination;
+        std::string datagram;
         WorkspaceId workspace;
         uint64_t tokens = 0;
-        Instant nextAt{};
+        Instant resendAt{};
         Instant giveUpAt{};
     };
 
-    /// What a peer said it has.
-    struct Told
+    /// The tokens that a peer last reported.
+    struct PeerReport
     {
         HeldTokens held;
-        Instant at{};
+        Instant receivedAt{};
     };
 
-    void nearFirst(std::vector<Peer> &peers) const;
+    void sortOwnDomainFirst(std::vector<Peer> &peers) const;
     void receive();
     void onDatagram(const std::string &text);
-    void onAsk(const nlohmann::json &message);
-    void onMove(const nlohmann::json &message);
+    void onTokenRequest(const nlohmann::json &message);
+    void onTransfer(const nlohmann::json &message);
     void onAck(const nlohmann::json &message);
-    void onClockAsk(const nlohmann::json &message);
-    void onClock(const nlohmann::json &message);
-    uint64_t underWay(const WorkspaceId &workspace) const;
-    void sendMove(const WorkspaceId &workspace, uint64_t tokens, const std::string &to,
-                  const boost::asio::ip::udp::endpoint &address, Instant now);
-    std::vector<boost::asio::ip::udp::endpoint> addressees(const TokenRequest &ask);
+    void onClockRequest(const nlohmann::json &message);
+    void onClockResponse(const nlohmann::json &message);
+    uint64_t tokensInTransit(const WorkspaceId &workspace) const;
+    void sendTransfer(const WorkspaceId &workspace, uint64_t tokens, const std::string &to,
+                      const boost::asio::ip::udp::endpoint &address, Instant now);
+    std::vector<boost::asio::ip::udp::endpoint> recipients(const TokenRequest &request);
     void send(const std::string &text, const boost::asio::ip::udp::endpoint &to);
 
     boost::asio::ip::udp::socket socket_;
@@ -132,14 +135,14 @@
     EventLog &log_;
     Handlers handlers_;
     std::vector<Peer> peers_;
-    std::map<WorkspaceId, std::vector<Peer>> homes_; ///< the own failure domain's first
+    std::map<WorkspaceId, std::vector<Peer>> homes_; ///< those in this failure domain first
     std::size_t nextPeer_ = 0;
     boost::asio::ip::udp::endpoint sender_;
     std::array<char, 2048> buffer_;
-    uint64_t lastMove_ = 0;
-    std::map<uint64_t, Move> unacknowledged_;
-    std::map<Incarnation, std::set<uint64_t>> taken_;
-    std::map<WorkspaceId, std::map<Incarnation, Told>> told_;
+    uint64_t lastTransferId_ = 0;
+    std::map<uint64_t, Transfer> unacknowledged_;
+    std::map<Incarnation, std::set<uint64_t>> receivedTransfers_;
+    std::map<WorkspaceId, std::map<Incarnation, PeerReport>> reports_;
 };
 
 } // namespace sequoiagate
--- a/include/sequoiagate/Edge/TokenService.h
+++ b/include/sequoiagate/Edge/TokenService.h
@@ -1,8 +1,8 @@
 #ifndef SEQUOIAGATE_EDGE_TOKENSERVICE_H
 #define SEQUOIAGATE_EDGE_TOKENSERVICE_H
 
-/// Reserves tokens for requests: drives the TokenHolder with the store and the peers, and
-/// holds requests for the moment that it takes to get tokens from either.
+/// Reserves tokens for requests. Connects the TokenHolder to the store and the peers, and queues
+/// requests for the short time that it takes to get tokens from them.
 
 #include <deque>
 #include <list>
@@ -34,7 +34,7 @@
     HostId host;
     DomainId domain;
     boost::asio::ip::udp::endpoint listenPeers;
-    boost::asio::ip::udp::endpoint announcePeers; ///< under which peers reach listenPeers
+    boost::asio::ip::udp::endpoint advertisePeers; ///< the address at which peers reach listenPeers
     std::string topic;
     Incarnation incarnation;
     TokenHolderSettings holder;
@@ -48,26 +48,26 @@
                  EventLog &log, Metrics &metrics);
     ~TokenService() override;
 
-    /// Called when the number of the fleet's processes, this one included, changes.
-    std::function<void(uint32_t)> onProcesses;
+    /// Called when the number of processes in the fleet, including this one, changes.
+    std::function<void(uint32_t)> onProcessCountChanged;
 
     void start();
     void setHorizon(Interval horizon) { holder_.setHorizon(horizon); }
     void setBudgets(const std::vector<WorkspaceBudget> &budgets, Instant now);
-    /// Gives all that isn't reserved back to the store. \p done is called when the store
-    /// has it, or when \p deadline passes.
+    /// Returns all unreserved tokens to the store. Calls \p done when the store has acknowledged
+    /// them or \p deadline has passed.
     void stop(Instant deadline, std::function<void()> done);
     bool storeReachable() const { return follower_.reachable(); }
 
     TokenRequestId reserve(const WorkspaceId &workspace, uint64_t tokens, Instant deadline,
                            std::function<void(std::optional<Verdict>)> handler) override;
-    void cancel(TokenRequestId ticket) override;
+    void cancel(TokenRequestId requestId) override;
     void settle(const WorkspaceId &workspace, uint64_t reserved, uint64_t spent) override;
 
 private:
-    struct Waiting
+    struct WaitingRequest
     {
-        TokenRequestId ticket = 0;
+        TokenRequestId requestId = 0;
         WorkspaceId workspace;
         uint64_t tokens = 0;
         Instant since{};
@@ -75,7 +75,8 @@
         std::function<void(std::optional<Verdict>)> handler;
     };
 
-    /// A workspace was found short a moment ago: who asks for as much is told at once.
+    /// A recent reservation that failed for lack of tokens. Requests for at least as many are
+    /// refused without waiting.
     struct Shortage
     {
         uint64_t tokens = 0;
@@ -83,33 +84,34 @@
     };
 
     void onRows(const std::vector<StoreRow> &rows);
-    void noteReadBack(const StoreRow &row);
+    void confirmBatchIfReadBack(const StoreRow &row);
     void onBudgetRow(const StoreRow &row);
     void onBatchRow(const StoreRow &row);
     void onHostRow(const StoreRow &row);
     void findPredecessor();
     void sealPredecessor(Instant now);
-    /// Logs what becomes of the tokens of \p dead. \pre seals_ are its own
-    void reportGivenUp(const Incarnation &dead, std::optional<Interval> elapsed);
-    void askClocks(Instant now);
-    void onClock(const ClockAnswer &answer);
-    void publishPeers();
+    /// Logs how many tokens of \p dead are returned and how many stay counted as spent.
+    /// \pre seals_ holds the rows of \p dead
+    void logWrittenOffTokens(const Incarnation &dead, std::optional<Interval> elapsed);
+    void requestClocks(Instant now);
+    void onClockResponse(const ClockResponse &response);
+    void updatePeers();
     void chooseHomes();
     void tick();
     void armTick();
-    void write();
-    void append();
-    void onAppended(const AppendAnswer &answer);
-    void serveWaiting(Instant now);
-    void expireWaiting(Instant now);
-    void updateShortOf(const WorkspaceId &workspace);
-    uint64_t give(const TokenRequest &ask, Instant now);
-    void askPeers(Instant now);
-    void returnLeftovers(Instant now);
-    HeldTokens held(const WorkspaceId &workspace) const;
-    Verdict shortage(const Waiting &waiting, Instant now) const;
+    void writeBatch();
+    void appendBatch();
+    void onAppended(const AppendAnswer &response);
+    void serveWaitingRequests(Instant now);
+    void expireWaitingRequests(Instant now);
+    void updateRequiredTokens(const WorkspaceId &workspace);
+    uint64_t transferOut(const TokenRequest &request, Instant now);
+    void requestFromPeers(Instant now);
+    void returnUnusedTokens(Instant now);
+    HeldTokens heldTokens(const WorkspaceId &workspace) const;
+    Verdict shortageVerdict(const WaitingRequest &waiting, Instant now) const;
     void finishStop(Instant now);
-    void report();
+    void logTokenStates();
 
     Store &store_;
     TokenServiceSettings settings_;
@@ -122,26 +124,26 @@
     std::unique_ptr<TokenStateLog> stateLog_;
     std::unordered_map<std::string, Peer> hosts_;
     std::unique_ptr<PeerClocks> peerClocks_;
-    std::optional<Peer> listedBefore_;         ///< the process that this host ran before
-    std::unique_ptr<Predecessor> predecessor_; ///< while it is found out what it used
-    std::vector<AllotmentRow> seals_;          ///< to be written
+    std::optional<Peer> previousProcess_; ///< this host's previous process, as listed in the store
+    std::unique_ptr<Predecessor> predecessor_; ///< until its token use is known
+    std::vector<AllotmentRow> seals_;          ///< to be written with the next batch
     Instant startedAt_;
-    std::list<Waiting> waiting_;
+    std::list<WaitingRequest> waitingRequests_;
     std::unordered_map<WorkspaceId, Shortage> shortages_;
-    TokenRequestId lastTicket_ = 0;
+    TokenRequestId lastRequestId_ = 0;
 
-    std::optional<StoreBatch> batch_; ///< being written
+    std::optional<StoreBatch> batch_; ///< the batch being written
     uint64_t nextSeq_ = 0;
-    bool batchHasTokens_ = false;
+    bool batchHasClaims_ = false;
     bool appending_ = false;
-    bool acknowledged_ = false;
-    bool ownRowRead_ = false; ///< the host's, of this process
-    bool announced_ = false;  ///< the host's own row has been written
-    bool farewell_ = false;   ///< the row that takes it away has been put in a batch
-    Instant appendAgainAt_{};
-    std::function<void()> stopped_;
+    bool batchAcknowledged_ = false;
+    bool ownHostRowRead_ = false;    ///< this process's host row was read back
+    bool hostRowQueued_ = false;     ///< the host row was put in a batch
+    bool hostRemovalQueued_ = false; ///< its removal was put in a batch
+    Instant retryAppendAt_{};
+    std::function<void()> onStopped_;
     Instant stopDeadline_ = Never;
-    Instant reportAt_{};
+    Instant nextStateLogAt_{};
 };
 
 } // namespace sequoiagate
--- a/lib/Edge/Addresses.h
+++ b/lib/Edge/Addresses.h
@@ -1,7 +1,7 @@
 #ifndef SEQUOIAGATE_LIB_EDGE_ADDRESSES_H
 #define SEQUOIAGATE_LIB_EDGE_ADDRESSES_H
 
-/// Addresses as text, "IP:port".
+/// Parses and formats IPv4 addresses as "IP:port".
 
 #include <optional>
 #include <string>
--- a/lib/Edge/Edge.cpp
+++ b/lib/Edge/Edge.cpp
@@ -18,29 +18,30 @@
 
 constexpr Interval TickInterval = std::chrono::milliseconds(100);
 
-/// The event loop counts as held up when a tick comes this late.
-constexpr Interval LoopHeldUp = std::chrono::milliseconds(50);
+/// A tick that is late by more than this is logged as a blocked event loop.
+constexpr Interval MaxLoopLag = std::chrono::milliseconds(50);
 
-/// Endpoints' entries come as many small rows, each heartbeat one: reads are spaced so
-/// that they share one. Far below the seconds in which a leaving endpoint must be known.
-constexpr Interval EndpointReadPace = std::chrono::milliseconds(300);
+/// Minimum interval between reads of the endpoints' entries. Each heartbeat writes one small row,
+/// and the interval lets many of them share a read. It is far below the few seconds within which a
+/// draining endpoint must be noticed.
+constexpr Interval MinEndpointReadInterval = std::chrono::milliseconds(300);
 
-/// What is left of the stop's grace when requests are cut off, for their callers to be told and
-/// for the store to hear of the tokens that come back.
-constexpr Interval CutBeforeEnd = std::chrono::milliseconds(600);
+/// How long before the end of the stop's grace period open requests are aborted: time to send
+/// errors to their callers and to return the tokens to the store.
+constexpr Interval AbortBeforeEnd = std::chrono::milliseconds(600);
 
-/// For callers to take what they are told then; the connection is closed past it.
-constexpr Interval CloseAfterCut = std::chrono::milliseconds(100);
+/// Time for callers to read that error before their connection is closed.
+constexpr Interval CloseAfterAbort = std::chrono::milliseconds(100);
 
-/// Longest time for the store to take the tokens back; they are lost past it.
-constexpr Interval ReturnTokensWithin = std::chrono::milliseconds(400);
+/// The longest time to wait for the store to acknowledge returned tokens; they are lost after it.
+constexpr Interval TokenReturnTimeout = std::chrono::milliseconds(400);
 
-/// Connections that may wait to be accepted; the platform's balancer opens them in bursts.
+/// Connections that may wait to be accepted; the platform's load balancer opens them in bursts.
 constexpr int AcceptBacklog = 1024;
 
 template <typename Endpoint>
-Endpoint required(const std::optional<Endpoint> &parsed, const std::string &key,
-                  const std::string &text)
+Endpoint parsedOrThrow(const std::optional<Endpoint> &parsed, const std::string &key,
+                       const std::string &text)
 {
     if (!parsed) {
         throw SettingsError("key '" + key + "' is \"" + text + "\"; allowed: IP:port");
@@ -50,7 +51,7 @@
 
 tcp::endpoint tcpSetting(const std::string &key, const std::string &text)
 {
-    return required(parseTcpAddress(text), key, text);
+    return parsedOrThrow(parseTcpAddress(text), key, text);
 }
 
 TokenServiceSettings tokenSettings(const EdgeSettings &edge, const std::string &topic,
@@ -60,11 +61,11 @@
     settings.host = edge.host;
     settings.domain = edge.domain;
     settings.listenPeers =
-            required(parseUdpAddress(edge.listenPeers), "listen_peers", edge.listenPeers);
-    settings.announcePeers = settings.listenPeers;
-    if (!edge.announcePeers.empty()) {
-        settings.announcePeers =
-                required(parseUdpAddress(edge.announcePeers), "announce_peers", edge.announcePeers);
+            parsedOrThrow(parseUdpAddress(edge.listenPeers), "listen_peers", edge.listenPeers);
+    settings.advertisePeers = settings.listenPeers;
+    if (!edge.advertisePeers.empty()) {
+        settings.advertisePeers = parsedOrThrow(parseUdpAddress(edge.advertisePeers),
+                                                "announce_peers", edge.advertisePeers);
     }
     settings.topic = topic;
     settings.incarnation = incarnation;
@@ -87,8 +88,9 @@
 
 Edge::Edge(EdgeSettings settings, EdgeAdapter &adapter, EventLog &log,
            std::function<EdgeSettings()> reread)
-    : settings_(std::move(settings)), adapter_(adapter), log_(log), reread_(std::move(reread)),
-      acceptor_(io_), acceptRetry_(io_), signals_(io_, SIGTERM, SIGINT, SIGHUP), timer_(io_),
+    : settings_(std::move(settings)), adapter_(adapter), log_(log),
+      reloadSettings_(std::move(reread)), acceptor_(io_), acceptRetry_(io_),
+      signals_(io_, SIGTERM, SIGINT, SIGHUP), timer_(io_),
       exchangeChart_(Statechart::parse(readShareFile("statecharts/exchange.json"))),
       drainChart_(Statechart::parse(readShareFile("statecharts/drain.json"))), drain_(drainChart_),
       pool_(io_, {}), endpoints_(settings_.domain, settings_.retries, log),
@@ -102,9 +104,9 @@
     store_ = adapter_.openStore(io_, pool_, tcpSetting("store", settings_.store));
     tokens_ = std::make_unique<TokenService>(
             io_, *store_,
-            tokenSettings(settings_, adapter_.topics().own, log.identity().incarnation), log,
+            tokenSettings(settings_, adapter_.topics().ledger, log.identity().incarnation), log,
             metrics_);
-    tokens_->onProcesses = [this](uint32_t count) {
+    tokens_->onProcessCountChanged = [this](uint32_t count) {
         endpoints_.setProcesses(count);
     };
     context_ = std::make_unique<ProxyContext>(ProxyContext{
@@ -119,11 +121,11 @@
                     [this](const std::vector<StoreRow> &rows, bool) { onConfigRows(rows); },
                     [](uint64_t) {},
                     [this](bool reachable, StoreOutcome outcome) {
-                        onStoreReachable("config", reachable, outcome);
+                        onReachabilityChanged("config", reachable, outcome);
                     }});
     FollowerSettings endpointSettings;
     endpointSettings.topic = adapter_.topics().endpoints;
-    endpointSettings.pace = EndpointReadPace;
+    endpointSettings.pace = MinEndpointReadInterval;
     endpointFollower_ = std::make_unique<TopicFollower>(
             io_, *store_, endpointSettings,
             TopicFollower::Handlers{[this](const std::vector<StoreRow> &rows, bool whole) {
@@ -133,7 +135,7 @@
                                     [this](bool reachable, StoreOutcome outcome) {
                                         endpoints_.setStoreReachable(
                                                 reachable, std::chrono::steady_clock::now());
-                                        onStoreReachable("endpoints", reachable, outcome);
+                                        onReachabilityChanged("endpoints", reachable, outcome);
                                     }});
     readyServer_ = std::make_unique<StatusServer>(
             io_, tcpSetting("listen_ready", settings_.listenReady), [this] {
@@ -160,13 +162,13 @@
     awaitSignals();
     tick();
     while (!runUntilFailure()) {
-        // A handler that threw has ended; the others' requests still get their answers.
+        // Only the handler that threw was interrupted; all other requests can still complete.
         beginStop();
     }
     if (failure_) {
         std::rethrow_exception(failure_);
     }
-    return cut_;
+    return abortedConnections_;
 }
 
 bool Edge::runUntilFailure()
@@ -185,8 +187,8 @@
 void Edge::accept()
 {
     acceptor_.async_accept([this](const error_code &error, tcp::socket socket) {
-        // A connection may have been taken in the round in which a stop closed the listener: its
-        // requests would be cut off when the process ends.
+        // A stop may have closed the listener in the same loop iteration that accepted this
+        // connection, whose requests would be aborted when the process exits.
         if (error == boost::asio::error::operation_aborted || !acceptor_.is_open()) {
             return;
         }
@@ -210,25 +212,27 @@
 {
     for (const StoreRow &row : rows) {
         if (row.key == adapter_.topics().configKey) {
-            adopt(row);
+            applyConfig(row);
         }
     }
 }
 
-void Edge::adopt(const StoreRow &row)
+void Edge::applyConfig(const StoreRow &row)
 {
     try {
         ServingConfigPtr config = adapter_.decodeConfig(row.value);
         newestConfigRead_ = true;
-        // A stale read or an old row must not undo a newer version that is in force.
+        // A stale read or an old row must not replace a newer version that is in force.
         if (config_ && config->version <= config_->version) {
             return;
         }
         config_ = std::move(config);
     } catch (const std::exception &error) {
-        // Each host reads this row: an end of the process would be the end of all of them.
+        // All hosts read this row; if it ended this process, it would end all of them.
         newestConfigRead_ = false;
-        log_.write(Event("config.malformed").with("offset", row.offset).with("why", error.what()));
+        log_.write(Event("config.malformed")
+                           .with("offset", row.offset)
+                           .with("why", error.what()));
         return;
     }
     tokens_->setBudgets(budgetsOf(*config_), std::chrono::steady_clock::now());
@@ -246,16 +250,18 @@
     for (const StoreRow &row : rows) {
         const EndpointId id(row.key);
         if (row.value.empty()) {
-            endpoints_.remove(id, Delisting::Removed, now);
+            endpoints_.remove(id, RemovalReason::Removed, now);
             continue;
         }
         present.push_back(id);
         try {
             endpoints_.update(adapter_.decodeEndpoint(row.key, row.value), now);
         } catch (const std::exception &error) {
-            // It names no endpoint that could be used; one known by that id isn't, either.
-            log_.write(Event("endpoint.malformed").with("endpoint", id).with("why", error.what()));
-            endpoints_.remove(id, Delisting::Malformed, now);
+            // The endpoint can't be used any more, even if an earlier entry was valid.
+            log_.write(Event("endpoint.malformed")
+                               .with("endpoint", id)
+                               .with("why", error.what()));
+            endpoints_.remove(id, RemovalReason::Malformed, now);
         }
     }
     if (whole) {
@@ -265,12 +271,12 @@
     endpoints_.publish(now);
 }
 
-void Edge::onStoreReachable(const char *what, bool reachable, StoreOutcome outcome)
+void Edge::onReachabilityChanged(const char *topicName, bool reachable, StoreOutcome outcome)
 {
     log_.write(Event(reachable ? "store.reachable" : "store.lost")
-                       .with("read", what)
+                       .with("read", topicName)
                        .with("outcome", storeOutcomeName(outcome)));
-    metrics_.count(reachable ? "store_regained_total" : "store_lost_total", {{"read", what}});
+    metrics_.count(reachable ? "store_regained_total" : "store_lost_total", {{"read", topicName}});
 }
 
 bool Edge::configIsCurrent() const
@@ -280,18 +286,18 @@
 
 bool Edge::ready()
 {
-    return config_ && endpointsKnown_ && drain_.state() == "serving" && !sheds();
+    return config_ && endpointsKnown_ && drain_.state() == "serving" && !isShedding();
 }
 
-bool Edge::sheds()
+bool Edge::isShedding()
 {
     const Instant now = std::chrono::steady_clock::now();
-    const bool sheds = link_.shedding(now);
-    if (sheds != sheds_) {
-        sheds_ = sheds;
-        log_.write(Event(sheds ? "link.full" : "link.has_room").with("share", link_.share(now)));
+    const bool shedding = link_.shedding(now);
+    if (shedding != shedding_) {
+        shedding_ = shedding;
+        log_.write(Event(shedding ? "link.full" : "link.has_room").with("share", link_.share(now)));
     }
-    return sheds;
+    return shedding;
 }
 
 void Edge::awaitSignals()
@@ -312,15 +318,15 @@
 void Edge::reload()
 {
     try {
-        const EdgeSettings fresh = reread_();
-        endpoints_.setRetries(fresh.retries);
-        link_.setBytesPerSecond(fresh.linkBytesPerSecond);
-        tokens_->setHorizon(fresh.tokens.horizon);
-        settings_.stopGrace = fresh.stopGrace;
-        settings_.readyGrace = fresh.readyGrace;
+        const EdgeSettings newSettings = reloadSettings_();
+        endpoints_.setRetries(newSettings.retries);
+        link_.setBytesPerSecond(newSettings.linkBytesPerSecond);
+        tokens_->setHorizon(newSettings.tokens.horizon);
+        settings_.stopGrace = newSettings.stopGrace;
+        settings_.readyGrace = newSettings.readyGrace;
         log_.write(Event("process.reloaded"));
     } catch (const SettingsError &error) {
-        // What is in force stays: a process that ended here would cut off its callers.
+        // The present settings stay in force; exiting here would abort all requests.
         log_.write(Event("process.not_reloaded").with("why", error.what()));
     }
 }
@@ -333,7 +339,7 @@
     drain_.handle("stop");
     const Instant now = std::chrono::steady_clock::now();
     acceptUntil_ = now + settings_.readyGrace;
-    cutAt_ = now + settings_.stopGrace - CutBeforeEnd;
+    abortAt_ = now + settings_.stopGrace - AbortBeforeEnd;
     endAt_ = now + settings_.stopGrace;
     log_.write(Event(events::ProcessDraining).with("callers", callers_.size()));
     drainCallers();
@@ -347,14 +353,14 @@
     }
 }
 
-void Edge::cutOffCallers(Instant now)
+void Edge::abortCallers(Instant now)
 {
-    // Counted from when they are told: the process may have been held up until then.
+    // Measured from the first call, since the process may have been blocked until then.
     const bool isFirst = closeAt_ == Never;
-    closeAt_ = isFirst ? now + CloseAfterCut : closeAt_;
+    closeAt_ = isFirst ? now + CloseAfterAbort : closeAt_;
     const std::set<std::shared_ptr<CallerConnection>> callers = callers_;
     for (const std::shared_ptr<CallerConnection> &caller : callers) {
-        cut_ += caller->serving() ? 1 : 0;
+        abortedConnections_ += caller->serving() ? 1 : 0;
         if (now < closeAt_) {
             caller->stop();
         } else {
@@ -373,7 +379,7 @@
         io_.stop();
         return;
     }
-    if (returning_) {
+    if (returningTokens_) {
         return;
     }
     if (now >= acceptUntil_ && acceptor_.is_open()) {
@@ -381,14 +387,14 @@
         acceptor_.close(ignored);
     }
     drainCallers();
-    if (now >= cutAt_) {
-        cutOffCallers(now);
+    if (now >= abortAt_) {
+        abortCallers(now);
     }
     if (acceptor_.is_open() || !callers_.empty()) {
         return;
     }
-    returning_ = true;
-    tokens_->stop(now + ReturnTokensWithin, [this] {
+    returningTokens_ = true;
+    tokens_->stop(now + TokenReturnTimeout, [this] {
         drain_.handle("empty");
         io_.stop();
     });
@@ -397,8 +403,8 @@
 void Edge::tick()
 {
     const Instant now = std::chrono::steady_clock::now();
-    noteLoopLag(now);
-    // Armed first: a stop must come to its end also if something below fails.
+    recordLoopLag(now);
+    // Armed first, so that a stop completes even if something below throws.
     tickDueAt_ = now + TickInterval;
     timer_.expires_at(tickDueAt_);
     timer_.async_wait([this](const error_code &error) {
@@ -411,14 +417,14 @@
     pool_.closeExpired(now);
 }
 
-void Edge::noteLoopLag(Instant now)
+void Edge::recordLoopLag(Instant now)
 {
     if (tickDueAt_ == Never) {
         return;
     }
     const Interval lag = now - tickDueAt_;
     metrics_.observe("edge_loop_lag_seconds", lag);
-    if (lag > LoopHeldUp) {
+    if (lag > MaxLoopLag) {
         log_.write(Event("loop.held_up")
                            .with("ms", std::chrono::duration_cast<Millis>(lag).count())
                            .with("callers", callers_.size()));
--- a/lib/Edge/EndpointDirectory.cpp
+++ b/lib/Edge/EndpointDirectory.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// Decisions by own sends alone: endpoints' reports are priced, late, and tell no more.
+/// Settings for choosing by this process's own requests alone. Reports of the endpoints' load cost
+/// extra, arrive late and add no information.
 EndpointSelectorSettings choiceSettings()
 {
     EndpointSelectorSettings settings;
@@ -20,20 +21,20 @@
     return settings;
 }
 
-struct DelistingName
+struct RemovalReasonName
 {
-    Delisting why;
+    RemovalReason reason;
     const char *name;
 };
 
-constexpr DelistingName DelistingNames[] = {{Delisting::Removed, "removed"},
-                                            {Delisting::Missing, "missing"},
-                                            {Delisting::Malformed, "malformed"}};
+constexpr RemovalReasonName RemovalReasonNames[] = {{RemovalReason::Removed, "removed"},
+                                                    {RemovalReason::Missing, "missing"},
+                                                    {RemovalReason::Malformed, "malformed"}};
 
-const char *nameOf(Delisting why)
+const char *nameOf(RemovalReason reason)
 {
-    for (const DelistingName &row : DelistingNames) {
-        if (row.why == why) {
+    for (const RemovalReasonName &row : RemovalReasonNames) {
+        if (row.reason == reason) {
             return row.name;
         }
     }
@@ -62,7 +63,7 @@
 
 EndpointDirectory::EndpointDirectory(const DomainId &self, DistributedRetryBudgetSettings retries,
                                      EventLog &log)
-    : log_(log), choice_(self, choiceSettings()), retries_(retries)
+    : log_(log), selector_(self, choiceSettings()), retryBudget_(retries)
 {}
 
 void EndpointDirectory::update(const EndpointEntry &entry, Instant now)
@@ -70,25 +71,25 @@
     const std::optional<boost::asio::ip::tcp::endpoint> address = parseTcpAddress(entry.address);
     if (!address) {
         log_.write(Event("endpoint.malformed").with("endpoint", entry.id).with("why", "address"));
-        remove(entry.id, Delisting::Malformed, now);
+        remove(entry.id, RemovalReason::Malformed, now);
         return;
     }
     const auto [found, added] = entries_.try_emplace(entry.id);
-    Listed &listed = found->second;
+    ListedEndpoint &listed = found->second;
     const EndpointEntry &known = listed.entry;
     const bool reborn = !added && known.startedAtMillis != entry.startedAtMillis;
     const bool same = !added && !reborn && known.address == entry.address
                       && known.service == entry.service && known.domain == entry.domain
                       && known.slots == entry.slots && known.draining == entry.draining
-                      && listed.goneAt == Never;
+                      && listed.removeAt == Never;
     if (same) {
         return;
     }
     listed.entry = entry;
     listed.address = *address;
-    listed.goneAt = Never;
+    listed.removeAt = Never;
     if (reborn) {
-        listed.avoidUntil = Instant();
+        listed.excludedUntil = Instant();
     }
     changed_ = true;
     log_.write(Event(added ? "endpoint.listed" : "endpoint.changed")
@@ -98,22 +99,22 @@
                        .with("reborn", reborn));
 }
 
-void EndpointDirectory::remove(const EndpointId &id, Delisting why, Instant now)
+void EndpointDirectory::remove(const EndpointId &id, RemovalReason reason, Instant now)
 {
     const auto found = entries_.find(id);
-    if (found == entries_.end() || found->second.goneAt != Never) {
+    if (found == entries_.end() || found->second.removeAt != Never) {
         return;
     }
-    const Instant lapseUntil = storeBackAt_ + LapseGrace;
-    const bool lapsed = !storeReachable_ || now < lapseUntil;
-    found->second.goneAt = lapsed ? std::max(lapseUntil, now) : now;
-    log_.write(
-            Event("endpoint.delisted")
-                    .with("endpoint", id)
-                    .with("service", found->second.entry.service)
-                    .with("why", nameOf(why))
-                    .with("kept_ms",
-                          std::chrono::duration_cast<Millis>(found->second.goneAt - now).count()));
+    const Instant graceEnd = storeReachableSince_ + ExpiredEntryGrace;
+    const bool mayHaveExpired = !storeReachable_ || now < graceEnd;
+    found->second.removeAt = mayHaveExpired ? std::max(graceEnd, now) : now;
+    log_.write(Event("endpoint.delisted")
+                       .with("endpoint", id)
+                       .with("service", found->second.entry.service)
+                       .with("why", nameOf(reason))
+                       .with("kept_ms",
+                             std::chrono::duration_cast<Millis>(found->second.removeAt - now)
+                                     .count()));
     tick(now);
 }
 
@@ -126,14 +127,14 @@
         }
     }
     for (const EndpointId &id : missing) {
-        remove(id, Delisting::Missing, now);
+        remove(id, RemovalReason::Missing, now);
     }
 }
 
 void EndpointDirectory::setStoreReachable(bool reachable, Instant now)
 {
     if (reachable && !storeReachable_) {
-        storeBackAt_ = now;
+        storeReachableSince_ = now;
     }
     storeReachable_ = reachable;
 }
@@ -141,7 +142,7 @@
 void EndpointDirectory::tick(Instant now)
 {
     const std::size_t before = entries_.size();
-    std::erase_if(entries_, [now](const auto &entry) { return now >= entry.second.goneAt; });
+    std::erase_if(entries_, [now](const auto &entry) { return now >= entry.second.removeAt; });
     if (entries_.size() != before) {
         changed_ = true;
     }
@@ -165,14 +166,14 @@
         spec.leaving = listed.entry.draining;
         specs.push_back(std::move(spec));
     }
-    // In the order of their names: what is chosen doesn't depend on the hash table's.
+    // Sorted by id, so that the choice doesn't depend on the order of the hash table.
     std::sort(specs.begin(), specs.end(),
               [](const EndpointSpec &a, const EndpointSpec &b) { return a.id < b.id; });
-    choice_.setEndpoints(specs, now);
-    logServices();
+    selector_.setEndpoints(specs, now);
+    logServiceChanges();
 }
 
-void EndpointDirectory::logServices()
+void EndpointDirectory::logServiceChanges()
 {
     std::set<ServiceId> served;
     for (const auto &[id, listed] : entries_) {
@@ -188,15 +189,15 @@
             }
         }
     };
-    logNew("service.served", served, served_);
-    logNew("service.unserved", served_, served);
-    served_ = std::move(served);
+    logNew("service.served", served, servedServices_);
+    logNew("service.unserved", servedServices_, served);
+    servedServices_ = std::move(served);
 }
 
 void EndpointDirectory::setProcesses(uint32_t count)
 {
-    choice_.setRouterCount(count);
-    retries_.setProcessCount(count);
+    selector_.setRouterCount(count);
+    retryBudget_.setProcessCount(count);
 }
 
 std::size_t EndpointDirectory::usable() const
@@ -210,20 +211,20 @@
                                          const std::vector<PromptPart> &prompt,
                                          const std::vector<EndpointId> &tried, Instant now)
 {
-    std::vector<EndpointId> left = tried;
+    std::vector<EndpointId> excluded = tried;
     for (const auto &[id, listed] : entries_) {
-        if (now < listed.avoidUntil) {
-            left.push_back(id);
+        if (now < listed.excludedUntil) {
+            excluded.push_back(id);
         }
     }
     WorkItem work = item;
     work.prefixHash = sharedPromptHash(prompt);
     work.cacheablePrefixTokens = sharedPromptTokens(prompt);
-    SelectionOutcome outcome = choice_.select(work, left, now);
-    if (std::holds_alternative<Verdict>(outcome) && left.size() > tried.size()) {
-        // All others are out of reach or out of use: one that was out of reach a moment
-        // ago is better than none.
-        outcome = choice_.select(work, tried, now);
+    SelectionOutcome outcome = selector_.select(work, excluded, now);
+    if (std::holds_alternative<Verdict>(outcome) && excluded.size() > tried.size()) {
+        // No other endpoint can be used: one that was unreachable a moment ago is better than
+        // none.
+        outcome = selector_.select(work, tried, now);
     }
     if (auto *verdict = std::get_if<Verdict>(&outcome)) {
         return std::move(*verdict);
@@ -234,18 +235,18 @@
 
 void EndpointDirectory::onSent(const EndpointId &endpoint, const WorkItem &item, Instant now)
 {
-    choice_.onSent(endpoint, item, now);
+    selector_.onSent(endpoint, item, now);
 }
 
 void EndpointDirectory::onFirstToken(const EndpointId &endpoint, const RequestId &request,
                                      Instant now)
 {
-    choice_.onFirstToken(endpoint, request, now);
+    selector_.onFirstToken(endpoint, request, now);
 }
 
 void EndpointDirectory::onAttemptEnd(const AttemptResult &result, Instant now)
 {
-    choice_.onEnd(result, now);
+    selector_.onEnd(result, now);
 }
 
 void EndpointDirectory::onStaleEndpoint(const EndpointId &endpoint, Instant now)
@@ -254,18 +255,18 @@
     if (found == entries_.end()) {
         return;
     }
-    found->second.avoidUntil = now + UnreachableFor;
+    found->second.excludedUntil = now + UnreachableRetryDelay;
     log_.write(Event("endpoint.unreachable").with("endpoint", endpoint));
 }
 
 bool EndpointDirectory::mayRetry(const ServiceId &service, Instant now)
 {
-    return retries_.mayRetry(service, now);
+    return retryBudget_.mayRetry(service, now);
 }
 
 void EndpointDirectory::onRequest(const ServiceId &service, Instant now)
 {
-    retries_.onRequest(service, now);
+    retryBudget_.onRequest(service, now);
 }
 
 } // namespace sequoiagate
--- a/lib/Edge/LedgerRows.cpp
+++ b/lib/Edge/LedgerRows.cpp
@@ -23,8 +23,8 @@
     return text.substr(0, prefix.size()) == prefix;
 }
 
-/// Reads a number and the space behind it, if any, off the front of \p text.
-bool takeNumber(std::string_view &text, uint64_t &number)
+/// Parses a number at the front of \p text and removes it, with the space after it if any.
+bool consumeNumber(std::string_view &text, uint64_t &number)
 {
     const auto parsed = std::from_chars(text.data(), text.data() + text.size(), number);
     if (parsed.ec != std::errc()) {
@@ -39,18 +39,19 @@
     return ended;
 }
 
-/// The second number was a time of day in earlier builds, which believe none that is 0.
-std::string clockText(Millis sinceBoot)
+/// Earlier versions wrote a time of day as the second number, and ignore one that is 0.
+std::string formatClock(Millis sinceBoot)
 {
     return fmt::format("{} 0", sinceBoot.count());
 }
 
-/// Reads what clockText wrote, and the space behind it, off the front of \p text.
-bool takeClock(std::string_view &text, Millis &sinceBoot)
+/// Parses the output of formatClock at the front of \p text and removes it, with the space after
+/// it.
+bool consumeClock(std::string_view &text, Millis &sinceBoot)
 {
     uint64_t millis = 0;
     uint64_t unused = 0;
-    if (!takeNumber(text, millis) || !takeNumber(text, unused)) {
+    if (!consumeNumber(text, millis) || !consumeNumber(text, unused)) {
         return false;
     }
     sinceBoot = Millis(millis);
@@ -59,29 +60,29 @@
 
 } // namespace
 
-std::string processMark(const Incarnation &process)
+std::string shortProcessId(const Incarnation &process)
 {
-    // The first of 32 random digits: enough to tell a host's processes apart.
+    // The first 8 of 32 random digits are enough to distinguish the processes of a host.
     constexpr std::size_t Digits = 8;
     return process.text().substr(0, Digits);
 }
 
-LedgerRow ledgerRowOf(const std::string &key)
+LedgerRowKind ledgerRowKind(const std::string &key)
 {
     struct Kind
     {
         std::string_view prefix;
-        LedgerRow row;
+        LedgerRowKind row;
     };
-    constexpr Kind Kinds[] = {{BudgetPrefix, LedgerRow::Budget},
-                              {BatchPrefix, LedgerRow::Batch},
-                              {HostPrefix, LedgerRow::Host}};
+    constexpr Kind Kinds[] = {{BudgetPrefix, LedgerRowKind::Budget},
+                              {BatchPrefix, LedgerRowKind::Batch},
+                              {HostPrefix, LedgerRowKind::Host}};
     for (const Kind &kind : Kinds) {
         if (startsWith(key, kind.prefix)) {
             return kind.row;
         }
     }
-    return LedgerRow::Unknown;
+    return LedgerRowKind::Unknown;
 }
 
 StoreRow encodeBudget(const AllotmentRow &row)
@@ -99,14 +100,15 @@
     AllotmentRow parsed;
     std::string_view numbers = row.value;
     Allotment &allotment = parsed.allotment;
-    bool good = takeNumber(numbers, allotment.tokens) && takeNumber(numbers, allotment.maxUsed);
-    if (good && numbers.empty()) {
-        // Of an earlier build, whose holder kept to no pace: what it used can't be told.
+    bool valid =
+            consumeNumber(numbers, allotment.tokens) && consumeNumber(numbers, allotment.maxUsed);
+    if (valid && numbers.empty()) {
+        // Written by an earlier version, which had no rate limit: all of it may have been used.
         allotment.maxUsed = allotment.tokens;
     } else {
-        good = good && takeNumber(numbers, allotment.usePerSecond) && numbers.empty();
+        valid = valid && consumeNumber(numbers, allotment.usePerSecond) && numbers.empty();
     }
-    if (separator == std::string_view::npos || !good) {
+    if (separator == std::string_view::npos || !valid) {
         return std::nullopt;
     }
     parsed.holder = Incarnation(std::string(rest.substr(0, separator)));
@@ -114,12 +116,12 @@
     return parsed;
 }
 
-StoreRow encodeBatch(const BatchMoment &batch)
+StoreRow encodeBatch(const BatchHeader &batch)
 {
-    // Each host reads all others' some times a second: as short as it can be.
-    std::string value = clockText(batch.sinceBoot);
+    // Kept short, since each host reads the batches of all others several times a second.
+    std::string value = formatClock(batch.sinceBoot);
     for (const PeerClock &peer : batch.peers) {
-        value += fmt::format("|{} {} {}", clockText(peer.sinceBoot), processMark(peer.process),
+        value += fmt::format("|{} {} {}", formatClock(peer.sinceBoot), shortProcessId(peer.process),
                              addressText(peer.address));
     }
     return {std::string(BatchPrefix) + batch.holder.text(), std::move(value), 0};
@@ -130,22 +132,22 @@
     return Incarnation(row.key.substr(BatchPrefix.size()));
 }
 
-std::optional<BatchMoment> decodeBatch(const StoreRow &row)
+std::optional<BatchHeader> decodeBatch(const StoreRow &row)
 {
     const std::vector<std::string> parts = absl::StrSplit(row.value, '|');
-    BatchMoment batch;
+    BatchHeader batch;
     batch.holder = batchHolder(row);
     std::string_view own = parts.front();
-    // Earlier builds name the boot behind it.
-    if (!takeClock(own, batch.sinceBoot)) {
+    // Earlier versions add the boot after it, which is ignored.
+    if (!consumeClock(own, batch.sinceBoot)) {
         return std::nullopt;
     }
     for (std::size_t i = 1; i < parts.size(); ++i) {
         std::string_view text = parts[i];
         PeerClock peer;
-        const bool good = takeClock(text, peer.sinceBoot);
+        const bool valid = consumeClock(text, peer.sinceBoot);
         const std::size_t space = text.find(' ');
-        if (!good || space == std::string_view::npos) {
+        if (!valid || space == std::string_view::npos) {
             return std::nullopt;
         }
         const auto address = parseUdpAddress(std::string(text.substr(space + 1)));
@@ -162,13 +164,13 @@
 StoreRow encodeHost(const Peer &peer)
 {
     const nlohmann::json value = {{"address", addressText(peer.address)},
-                                  {"listens", addressText(peer.listens)},
+                                  {"listens", addressText(peer.listenAddress)},
                                   {"domain", peer.domain.text()},
                                   {"incarnation", peer.incarnation.text()}};
     return {std::string(HostPrefix) + peer.host.text(), value.dump(), 0};
 }
 
-StoreRow encodeFarewell(const HostId &host)
+StoreRow encodeHostRemoval(const HostId &host)
 {
     return {std::string(HostPrefix) + host.text(), "", 0};
 }
@@ -181,15 +183,15 @@
 Peer decodeHost(const StoreRow &row)
 {
     const nlohmann::json value = nlohmann::json::parse(row.value);
-    const auto reached = value.at("address").get<std::string>();
-    const auto address = parseUdpAddress(reached);
-    // Processes of an earlier build say only where they are reached, and listen there.
-    const auto listens = parseUdpAddress(value.value("listens", reached));
-    if (!address || !listens) {
-        throw std::invalid_argument("an address isn't IP:port");
+    const auto addressValue = value.at("address").get<std::string>();
+    const auto address = parseUdpAddress(addressValue);
+    // Processes of earlier versions write only one address, on which they also listen.
+    const auto listenAddress = parseUdpAddress(value.value("listens", addressValue));
+    if (!address || !listenAddress) {
+        throw std::invalid_argument("malformed address; allowed: IP:port");
     }
     return {hostOf(row), DomainId(value.at("domain").get<std::string>()),
-            Incarnation(value.at("incarnation").get<std::string>()), *address, *listens};
+            Incarnation(value.at("incarnation").get<std::string>()), *address, *listenAddress};
 }
 
 } // namespace sequoiagate
--- a/lib/Edge/LedgerRows.h
+++ b/lib/Edge/LedgerRows.h
@@ -1,8 +1,8 @@
 #ifndef SEQUOIAGATE_LIB_EDGE_LEDGERROWS_H
 #define SEQUOIAGATE_LIB_EDGE_LEDGERROWS_H
 
-/// The rows of the edge's own topic: what a holder has of a workspace's budget, when a process
-/// wrote its last batch, and where each host's process is reached.
+/// Encodes and decodes the rows of the edge's own topic: the tokens of a workspace's budget that a
+/// holder has, the time of each process's last batch, and the address of each host's process.
 
 #include <optional>
 #include <string>
@@ -15,45 +15,46 @@
 
 namespace sequoiagate {
 
-/// What a row tells of, by the beginning of its key.
-enum class LedgerRow { Budget, Batch, Host, Unknown };
+/// The kind of a row, given by the prefix of its key.
+enum class LedgerRowKind { Budget, Batch, Host, Unknown };
 
-LedgerRow ledgerRowOf(const std::string &key);
+LedgerRowKind ledgerRowKind(const std::string &key);
 
 StoreRow encodeBudget(const AllotmentRow &row);
-/// A row made by encodeBudget, or nullopt. A workspace's name may hold the separator.
+/// Decodes a row of encodeBudget; nullopt if it is malformed. A workspace's name may contain the
+/// separator.
 std::optional<AllotmentRow> decodeBudget(const StoreRow &row);
 
-/// What tells a process from those before and after it on its host, in few characters.
-std::string processMark(const Incarnation &process);
+/// A short id that distinguishes a process from the earlier and later ones of its host.
+std::string shortProcessId(const Incarnation &process);
 
-/// A peer's clock since boot, as its last batch told it.
+/// A reading of a peer's clock since boot.
 struct PeerClock
 {
-    boost::asio::ip::udp::endpoint address; ///< a host's alone, unlike its name
-    Incarnation process;                    ///< its mark, where it was read from a row
+    boost::asio::ip::udp::endpoint address; ///< identifies the peer's host
+    Incarnation process;                    ///< only its short id if it was read from a row
     Millis sinceBoot{};
 };
 
-/// When \p holder composed its last batch, and what it had read of peers' clocks by then.
-struct BatchMoment
+/// When a holder composed its last batch, and its newest readings of peers' clocks at that time.
+struct BatchHeader
 {
     Incarnation holder;
-    Millis sinceBoot{}; ///< by the holder's clock, for its peers' batches
+    Millis sinceBoot{}; ///< the holder's clock, to be named in its peers' batches
     std::vector<PeerClock> peers;
 };
 
-StoreRow encodeBatch(const BatchMoment &batch);
-/// The holder that a batch's row is about.
+StoreRow encodeBatch(const BatchHeader &batch);
+/// The holder that wrote a batch row.
 Incarnation batchHolder(const StoreRow &row);
-std::optional<BatchMoment> decodeBatch(const StoreRow &row);
+std::optional<BatchHeader> decodeBatch(const StoreRow &row);
 
 StoreRow encodeHost(const Peer &peer);
-/// The row that takes a host off the list.
-StoreRow encodeFarewell(const HostId &host);
-/// The host that a row is about.
+/// The row that removes a host from the list.
+StoreRow encodeHostRemoval(const HostId &host);
+/// The host that a host row describes.
 HostId hostOf(const StoreRow &row);
-/// \pre the row's value isn't empty: that is a farewell
+/// \pre the row's value isn't empty (an empty one removes the host)
 /// \throws nlohmann::json::exception, std::invalid_argument
 Peer decodeHost(const StoreRow &row);
 
--- a/lib/Edge/PeerClocks.cpp
+++ b/lib/Edge/PeerClocks.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-constexpr Interval AskInterval = std::chrono::milliseconds(300);
-constexpr std::size_t MostAsked = 6;
+constexpr Interval QueryInterval = std::chrono::milliseconds(300);
+constexpr std::size_t MaxQueried = 6;
 /// If half of the fleet is killed at once, at least one of five peers usually survives.
-constexpr std::size_t MostNamed = 5;
+constexpr std::size_t MaxNamed = 5;
 /// Keeps peers available when an entire failure domain fails.
-constexpr uint32_t MostADomain = 2;
+constexpr uint32_t MaxPerDomain = 2;
 
 } // namespace
 
@@ -29,10 +29,10 @@
     }
     std::sort(order.begin(), order.end(), std::greater<>());
     std::map<DomainId, uint32_t> chosen;
-    asked_.clear();
+    queriedPeers_.clear();
     for (const auto &[weight, peer] : order) {
-        if (asked_.size() < MostAsked && ++chosen[peer->domain] <= MostADomain) {
-            asked_.push_back(*peer);
+        if (queriedPeers_.size() < MaxQueried && ++chosen[peer->domain] <= MaxPerDomain) {
+            queriedPeers_.push_back(*peer);
         }
     }
 }
@@ -42,26 +42,26 @@
     batches_[holder] = {row, now};
 }
 
-std::optional<BatchMoment> PeerClocks::lastBatchOf(const Incarnation &holder) const
+std::optional<BatchHeader> PeerClocks::lastBatchOf(const Incarnation &holder) const
 {
     const auto found = batches_.find(holder);
     return found == batches_.end() ? std::nullopt : decodeBatch(found->second.row);
 }
 
-void PeerClocks::onAnswer(const ClockAnswer &answer, Instant now)
+void PeerClocks::onResponse(const ClockResponse &response, Instant now)
 {
-    answers_[answer.process] = {answer.sinceBoot, now + 2 * AskInterval};
+    responses_[response.process] = {response.sinceBoot, now + 2 * QueryInterval};
 }
 
-std::vector<boost::asio::ip::udp::endpoint> PeerClocks::asks(Instant now)
+std::vector<boost::asio::ip::udp::endpoint> PeerClocks::peersToQuery(Instant now)
 {
     std::vector<boost::asio::ip::udp::endpoint> addresses;
-    if (now < askAt_) {
+    if (now < nextQueryAt_) {
         return addresses;
     }
-    askAt_ = now + AskInterval;
-    std::erase_if(answers_, [now](const auto &entry) { return now >= entry.second.expiresAt; });
-    for (const Peer &peer : asked_) {
+    nextQueryAt_ = now + QueryInterval;
+    std::erase_if(responses_, [now](const auto &entry) { return now >= entry.second.expiresAt; });
+    for (const Peer &peer : queriedPeers_) {
         addresses.push_back(peer.address);
     }
     return addresses;
@@ -69,11 +69,11 @@
 
 std::optional<PeerClock> PeerClocks::clockOf(const Peer &peer, Instant now) const
 {
-    const auto answer = answers_.find(peer.incarnation);
-    if (answer != answers_.end() && now < answer->second.expiresAt) {
-        return PeerClock{peer.address, peer.incarnation, answer->second.sinceBoot};
+    const auto response = responses_.find(peer.incarnation);
+    if (response != responses_.end() && now < response->second.expiresAt) {
+        return PeerClock{peer.address, peer.incarnation, response->second.sinceBoot};
     }
-    const std::optional<BatchMoment> batch = lastBatchOf(peer.incarnation);
+    const std::optional<BatchHeader> batch = lastBatchOf(peer.incarnation);
     if (!batch) {
         return std::nullopt;
     }
@@ -84,10 +84,10 @@
 {
     std::vector<std::pair<Instant, const Peer *>> order;
     for (const Peer &peer : peers_) {
-        const auto answer = answers_.find(peer.incarnation);
+        const auto response = responses_.find(peer.incarnation);
         const auto batch = batches_.find(peer.incarnation);
-        if (answer != answers_.end() && now < answer->second.expiresAt) {
-            order.emplace_back(answer->second.expiresAt, &peer);
+        if (response != responses_.end() && now < response->second.expiresAt) {
+            order.emplace_back(response->second.expiresAt, &peer);
         } else if (batch != batches_.end()) {
             order.emplace_back(batch->second.readAt, &peer);
         }
@@ -97,7 +97,7 @@
     std::map<DomainId, uint32_t> chosen;
     std::vector<PeerClock> clocks;
     for (const auto &[at, peer] : order) {
-        if (clocks.size() == MostNamed || ++chosen[peer->domain] > MostADomain) {
+        if (clocks.size() == MaxNamed || ++chosen[peer->domain] > MaxPerDomain) {
             continue;
         }
         if (const std::optional<PeerClock> clock = clockOf(*peer, now)) {
--- a/lib/Edge/PeerClocks.h
+++ b/lib/Edge/PeerClocks.h
@@ -3,11 +3,11 @@
 
 /// Collects readings of the peers' clocks since boot, to be included in this process's batches.
 ///
-/// If this process is killed, its successor asks the same peers again. The difference between the
-/// two readings of a peer is an upper bound of the time from the last batch to the end of this
+/// If this process is killed, its successor queries the same peers again. The difference between
+/// the two readings of a peer is an upper bound of the time from the last batch to the end of this
 /// process. An old reading loosens the bound, and unused tokens then count as spent. Batches
 /// contain their writers' clocks, but are read less often the larger the fleet is, so some peers
-/// are also asked directly.
+/// are also queried directly.
 
 #include <optional>
 #include <unordered_map>
@@ -35,12 +35,12 @@
     /// since every host reads the batches of all others.
     void onBatch(const Incarnation &holder, const StoreRow &row, Instant now);
     /// The last batch read from \p holder; nullopt if there is none or it is malformed.
-    std::optional<BatchMoment> lastBatchOf(const Incarnation &holder) const;
-    void onAnswer(const ClockAnswer &answer, Instant now);
-    /// The addresses of the peers to ask now; empty until the next request is due.
-    std::vector<boost::asio::ip::udp::endpoint> asks(Instant now);
-    /// The newest readings, with a limit per failure domain. Unexpired answers come before readings
-    /// from batches.
+    std::optional<BatchHeader> lastBatchOf(const Incarnation &holder) const;
+    void onResponse(const ClockResponse &response, Instant now);
+    /// The addresses of the peers to query now; empty until the next request is due.
+    std::vector<boost::asio::ip::udp::endpoint> peersToQuery(Instant now);
+    /// The newest readings, with a limit per failure domain. Unexpired responses come before
+    /// readings from batches.
     std::vector<PeerClock> newestClocks(Instant now) const;
 
 private:
@@ -50,7 +50,7 @@
         Instant readAt{};
     };
 
-    struct Answer
+    struct Response
     {
         Millis sinceBoot{};
         Instant expiresAt{}; ///< from then on the peer's last batch is used instead
@@ -60,10 +60,10 @@
 
     HostId self_;
     std::vector<Peer> peers_;
-    std::vector<Peer> asked_;
+    std::vector<Peer> queriedPeers_;
     std::unordered_map<Incarnation, Batch> batches_;
-    std::unordered_map<Incarnation, Answer> answers_;
-    Instant askAt_{};
+    std::unordered_map<Incarnation, Response> responses_;
+    Instant nextQueryAt_{};
 };
 
 } // namespace sequoiagate
--- a/lib/Edge/PeerLink.cpp
+++ b/lib/Edge/PeerLink.cpp
@@ -13,18 +13,21 @@
 
 namespace {
 
-/// Peers asked at once. A handful finds tokens if most have some; asking 75 each time
-/// would cost more than the request that waits.
-constexpr std::size_t AskedAtOnce = 8;
+/// Peers that get a token request at once. A few are enough if most peers have tokens; sending to
+/// all 75 each time would cost more than the waiting request.
+constexpr std::size_t MaxPeersPerRequest = 8;
 
-/// A round trip between failure domains takes some milliseconds; a lost datagram costs this.
-constexpr Interval ResendAfter = std::chrono::milliseconds(80);
+/// Retransmission delay after a lost datagram. A round trip between failure domains takes a few
+/// milliseconds.
+constexpr Interval RetransmitDelay = std::chrono::milliseconds(80);
 
-/// Longest cut between hosts that a move outlasts. Past it the tokens are lost.
-constexpr Interval MoveLasts = std::chrono::seconds(20);
+/// How long a transfer is retransmitted: the longest network partition between two hosts that it
+/// survives. The tokens are lost after that.
+constexpr Interval TransferTimeout = std::chrono::seconds(20);
 
-/// A home that hasn't answered within this time may have ended; tokens moved to it would be lost.
-constexpr Interval HomeAnswerMaxAge = std::chrono::seconds(5);
+/// A home that hasn't responded within this time may have ended, and tokens sent to it would be
+/// lost.
+constexpr Interval HomeResponseMaxAge = std::chrono::seconds(5);
 
 } // namespace
 
@@ -39,38 +42,38 @@
 
 void PeerLink::setPeers(std::vector<Peer> peers)
 {
-    nearFirst(peers);
+    sortOwnDomainFirst(peers);
     peers_ = std::move(peers);
 }
 
 void PeerLink::setHomes(const WorkspaceId &workspace, std::vector<Peer> homes)
 {
-    nearFirst(homes);
+    sortOwnDomainFirst(homes);
     homes_[workspace] = std::move(homes);
 }
 
-void PeerLink::nearFirst(std::vector<Peer> &peers) const
+void PeerLink::sortOwnDomainFirst(std::vector<Peer> &peers) const
 {
-    // The own failure domain is near, and on this side of most cuts.
+    // Peers in the same failure domain respond faster and stay reachable in most partitions.
     std::stable_partition(peers.begin(), peers.end(),
                           [this](const Peer &peer) { return peer.domain == domain_; });
 }
 
-std::vector<udp::endpoint> PeerLink::addressees(const TokenRequest &ask)
+std::vector<udp::endpoint> PeerLink::recipients(const TokenRequest &request)
 {
     std::vector<udp::endpoint> chosen;
-    const auto homes = homes_.find(ask.workspace);
+    const auto homes = homes_.find(request.workspace);
     const bool hasHomes = homes != homes_.end() && !homes->second.empty();
-    if (hasHomes && ask.need > 0 && ask.round == 0) {
+    if (hasHomes && request.need > 0 && request.round == 0) {
         return {homes->second.front().address};
     }
-    if (hasHomes && ask.need > 0 && ask.round == 1) {
+    if (hasHomes && request.need > 0 && request.round == 1) {
         for (const Peer &home : homes->second) {
             chosen.push_back(home.address);
         }
         return chosen;
     }
-    const std::size_t count = std::min(AskedAtOnce, peers_.size());
+    const std::size_t count = std::min(MaxPeersPerRequest, peers_.size());
     for (std::size_t i = 0; i < count; ++i) {
         chosen.push_back(peers_[nextPeer_ % peers_.size()].address);
         ++nextPeer_;
@@ -85,8 +88,8 @@
                                    if (error == boost::asio::error::operation_aborted) {
                                        return;
                                    }
-                                   // An error here tells of an earlier datagram that nobody
-                                   // received.
+                                   // Errors here concern an earlier datagram that could not be
+                                   // delivered.
                                    if (!error) {
                                        onDatagram(std::string(buffer_.data(), bytes));
                                    }
@@ -101,11 +104,11 @@
         std::string_view name;
         void (PeerLink::*handle)(const nlohmann::json &);
     };
-    constexpr Kind Kinds[] = {{"ask", &PeerLink::onAsk},
-                              {"move", &PeerLink::onMove},
+    constexpr Kind Kinds[] = {{"ask", &PeerLink::onTokenRequest},
+                              {"move", &PeerLink::onTransfer},
                               {"ack", &PeerLink::onAck},
-                              {"ask_clocks", &PeerLink::onClockAsk},
-                              {"clocks", &PeerLink::onClock}};
+                              {"ask_clocks", &PeerLink::onClockRequest},
+                              {"clocks", &PeerLink::onClockResponse}};
     try {
         const nlohmann::json message = nlohmann::json::parse(text);
         const auto name = message.at("kind").get<std::string>();
@@ -119,35 +122,38 @@
     }
 }
 
-void PeerLink::ask(const TokenRequest &ask)
+void PeerLink::requestTokens(const TokenRequest &request)
 {
-    const nlohmann::json message = {
-            {"kind", "ask"},     {"from", self_.text()}, {"workspace", ask.workspace.text()},
-            {"need", ask.need},  {"usable", ask.usable}, {"per_second", ask.demandPerSecond},
-            {"round", ask.round}};
+    const nlohmann::json message = {{"kind", "ask"},
+                                    {"from", self_.text()},
+                                    {"workspace", request.workspace.text()},
+                                    {"need", request.need},
+                                    {"usable", request.usable},
+                                    {"per_second", request.demandPerSecond},
+                                    {"round", request.round}};
     const std::string text = message.dump();
-    for (const udp::endpoint &to : addressees(ask)) {
+    for (const udp::endpoint &to : recipients(request)) {
         send(text, to);
     }
 }
 
-void PeerLink::onAsk(const nlohmann::json &message)
+void PeerLink::onTokenRequest(const nlohmann::json &message)
 {
-    TokenRequest ask;
-    ask.workspace = WorkspaceId(message.at("workspace").get<std::string>());
-    ask.need = message.at("need").get<uint64_t>();
-    ask.usable = message.at("usable").get<uint64_t>();
-    ask.demandPerSecond = message.at("per_second").get<uint64_t>();
-    ask.round = message.value("round", 0U);
+    TokenRequest request;
+    request.workspace = WorkspaceId(message.at("workspace").get<std::string>());
+    request.need = message.at("need").get<uint64_t>();
+    request.usable = message.at("usable").get<uint64_t>();
+    request.demandPerSecond = message.at("per_second").get<uint64_t>();
+    request.round = message.value("round", 0U);
     const auto from = message.at("from").get<std::string>();
-    const uint64_t tokens = handlers_.onAsk(ask);
-    sendMove(ask.workspace, tokens, from, sender_, std::chrono::steady_clock::now());
+    const uint64_t tokens = handlers_.onTokenRequest(request);
+    sendTransfer(request.workspace, tokens, from, sender_, std::chrono::steady_clock::now());
 }
 
-void PeerLink::sendMove(const WorkspaceId &workspace, uint64_t tokens, const std::string &to,
-                        const udp::endpoint &address, Instant now)
+void PeerLink::sendTransfer(const WorkspaceId &workspace, uint64_t tokens, const std::string &to,
+                            const udp::endpoint &address, Instant now)
 {
-    const uint64_t id = tokens > 0 ? ++lastMove_ : 0;
+    const uint64_t id = tokens > 0 ? ++lastTransferId_ : 0;
     const HeldTokens held = handlers_.held(workspace);
     const nlohmann::json message = {{"kind", "move"},
                                     {"from", self_.text()},
@@ -156,12 +162,12 @@
                                     {"workspace", workspace.text()},
                                     {"tokens", tokens},
                                     {"usable", held.usable},
-                                    {"reserved", held.reserved + underWay(workspace)},
-                                    {"settling", held.settling}};
+                                    {"reserved", held.reserved + tokensInTransit(workspace)},
+                                    {"settling", held.predecessorPending}};
     const std::string text = message.dump();
     if (tokens > 0) {
-        unacknowledged_[id] = {address,           text,           workspace, tokens,
-                               now + ResendAfter, now + MoveLasts};
+        unacknowledged_[id] = {
+                address, text, workspace, tokens, now + RetransmitDelay, now + TransferTimeout};
         log_.write(Event("tokens.given")
                            .with("workspace", workspace)
                            .with("tokens", tokens)
@@ -171,24 +177,24 @@
     send(text, address);
 }
 
-bool PeerLink::homeAnsweredRecently(const WorkspaceId &workspace, Instant now) const
+bool PeerLink::homeRespondedRecently(const WorkspaceId &workspace, Instant now) const
 {
     const auto homes = homes_.find(workspace);
-    const auto told = told_.find(workspace);
-    if (homes == homes_.end() || homes->second.empty() || told == told_.end()) {
+    const auto reports = reports_.find(workspace);
+    if (homes == homes_.end() || homes->second.empty() || reports == reports_.end()) {
         return false;
     }
-    const auto found = told->second.find(homes->second.front().incarnation);
-    return found != told->second.end() && now < found->second.at + HomeAnswerMaxAge;
+    const auto found = reports->second.find(homes->second.front().incarnation);
+    return found != reports->second.end() && now < found->second.receivedAt + HomeResponseMaxAge;
 }
 
-void PeerLink::moveToHome(const WorkspaceId &workspace, uint64_t tokens, Instant now)
+void PeerLink::transferToHome(const WorkspaceId &workspace, uint64_t tokens, Instant now)
 {
     const Peer &home = homes_.at(workspace).front();
-    sendMove(workspace, tokens, home.incarnation.text(), home.address, now);
+    sendTransfer(workspace, tokens, home.incarnation.text(), home.address, now);
 }
 
-void PeerLink::onMove(const nlohmann::json &message)
+void PeerLink::onTransfer(const nlohmann::json &message)
 {
     const WorkspaceId workspace(message.at("workspace").get<std::string>());
     const Incarnation from(message.at("from").get<std::string>());
@@ -196,17 +202,17 @@
     const auto id = message.at("id").get<uint64_t>();
     const HeldTokens held{message.at("usable").get<uint64_t>(),
                           message.value("reserved", uint64_t{0}), message.value("settling", false)};
-    told_[workspace][from] = {held, std::chrono::steady_clock::now()};
+    reports_[workspace][from] = {held, std::chrono::steady_clock::now()};
     if (tokens == 0) {
         return;
     }
-    // It was meant for a process that this host ran before: its moves ended with it.
+    // Addressed to this host's previous process, whose transfers are void since it ended.
     if (message.at("to").get<std::string>() != self_.text()) {
         return;
     }
     const nlohmann::json ack = {{"kind", "ack"}, {"from", self_.text()}, {"id", id}};
     send(ack.dump(), sender_);
-    if (!taken_[from].insert(id).second) {
+    if (!receivedTransfers_[from].insert(id).second) {
         return;
     }
     log_.write(Event("tokens.taken")
@@ -214,7 +220,7 @@
                        .with("tokens", tokens)
                        .with("from", from)
                        .with("id", id));
-    handlers_.onTokens(workspace, tokens);
+    handlers_.onTokensReceived(workspace, tokens);
 }
 
 void PeerLink::onAck(const nlohmann::json &message)
@@ -222,40 +228,40 @@
     unacknowledged_.erase(message.at("id").get<uint64_t>());
 }
 
-void PeerLink::askClock(const udp::endpoint &address, Millis asked)
+void PeerLink::requestClock(const udp::endpoint &address, Millis sinceStart)
 {
     const nlohmann::json message = {{"kind", "ask_clocks"},
                                     {"from", self_.text()},
                                     {"about", addressText(address)},
-                                    {"asked_ms", asked.count()}};
+                                    {"asked_ms", sinceStart.count()}};
     send(message.dump(), address);
 }
 
-void PeerLink::onClockAsk(const nlohmann::json &message)
+void PeerLink::onClockRequest(const nlohmann::json &message)
 {
-    const nlohmann::json answer = {{"kind", "clocks"},
-                                   {"from", self_.text()},
-                                   {"to", message.at("from")},
-                                   {"about", message.at("about")},
-                                   {"since_boot_ms", sinceBoot().count()},
-                                   // Earlier builds ask for these, and believe neither.
-                                   {"boot", ""},
-                                   {"time_ms", -1},
-                                   {"asked_ms", message.at("asked_ms")}};
-    send(answer.dump(), sender_);
+    const nlohmann::json response = {{"kind", "clocks"},
+                                     {"from", self_.text()},
+                                     {"to", message.at("from")},
+                                     {"about", message.at("about")},
+                                     {"since_boot_ms", sinceBoot().count()},
+                                     // Earlier versions require these and ignore both values.
+                                     {"boot", ""},
+                                     {"time_ms", -1},
+                                     {"asked_ms", message.at("asked_ms")}};
+    send(response.dump(), sender_);
 }
 
-void PeerLink::onClock(const nlohmann::json &message)
+void PeerLink::onClockResponse(const nlohmann::json &message)
 {
     const auto address = parseUdpAddress(message.at("about").get<std::string>());
-    // The process before this one on the address may have asked: its answer was read before
-    // this one started, and would make the time that passed seem shorter.
+    // This may be a response to the previous process on this address. That clock was read before
+    // this process started, so the elapsed time would be underestimated.
     if (!address || message.at("to").get<std::string>() != self_.text()) {
         return;
     }
-    handlers_.onClock({*address, Incarnation(message.at("from").get<std::string>()),
-                       Millis(message.at("since_boot_ms").get<int64_t>()),
-                       Millis(message.at("asked_ms").get<int64_t>())});
+    handlers_.onClockResponse({*address, Incarnation(message.at("from").get<std::string>()),
+                               Millis(message.at("since_boot_ms").get<int64_t>()),
+                               Millis(message.at("asked_ms").get<int64_t>())});
 }
 
 void PeerLink::tick(Instant now)
@@ -269,15 +275,15 @@
             move = unacknowledged_.erase(move);
             continue;
         }
-        if (now >= move->second.nextAt) {
-            move->second.nextAt = now + ResendAfter;
-            send(move->second.text, move->second.to);
+        if (now >= move->second.resendAt) {
+            move->second.resendAt = now + RetransmitDelay;
+            send(move->second.datagram, move->second.destination);
         }
         ++move;
     }
 }
 
-uint64_t PeerLink::underWay(const WorkspaceId &workspace) const
+uint64_t PeerLink::tokensInTransit(const WorkspaceId &workspace) const
 {
     uint64_t total = 0;
     for (const auto &[id, move] : unacknowledged_) {
@@ -286,20 +292,20 @@
     return total;
 }
 
-std::optional<uint64_t> PeerLink::heldElsewhere(const WorkspaceId &workspace, Instant since) const
+std::optional<uint64_t> PeerLink::heldByPeers(const WorkspaceId &workspace, Instant since) const
 {
-    const auto told = told_.find(workspace);
+    const auto reports = reports_.find(workspace);
     uint64_t total = 0;
     for (const Peer &peer : peers_) {
-        if (told == told_.end()) {
+        if (reports == reports_.end()) {
             return std::nullopt;
         }
-        const auto found = told->second.find(peer.incarnation);
-        if (found == told->second.end() || found->second.at < since) {
+        const auto found = reports->second.find(peer.incarnation);
+        if (found == reports->second.end() || found->second.receivedAt < since) {
             return std::nullopt;
         }
         const HeldTokens &held = found->second.held;
-        if (held.settling) {
+        if (held.predecessorPending) {
             return std::nullopt;
         }
         total += held.usable + held.reserved;
@@ -309,7 +315,7 @@
 
 void PeerLink::send(const std::string &text, const udp::endpoint &to)
 {
-    // A datagram that the kernel doesn't take is as good as lost on the way.
+    // A datagram that the kernel rejects is handled like one lost in the network.
     boost::system::error_code lost;
     socket_.send_to(boost::asio::buffer(text), to, 0, lost);
 }
--- a/lib/Edge/Predecessor.cpp
+++ b/lib/Edge/Predecessor.cpp
@@ -6,68 +6,70 @@
 
 namespace {
 
-constexpr Interval AskAgainAfter = std::chrono::milliseconds(100);
-constexpr Interval AllAnswerWithin = std::chrono::milliseconds(500);
-/// Waiting makes no bound larger; its tokens are given back that much later.
-constexpr Interval GiveUpAfter = std::chrono::seconds(10);
+constexpr Interval RetryInterval = std::chrono::milliseconds(100);
+constexpr Interval AllResponsesTimeout = std::chrono::milliseconds(500);
+/// Waiting longer makes the bound no larger; it only delays the return of the tokens.
+constexpr Interval GiveUpTimeout = std::chrono::seconds(10);
 
 } // namespace
 
-Predecessor::Predecessor(BatchMoment last, const std::set<Address> &listed, Instant now)
-    : process_(std::move(last.holder)), allAnswerBy_(now + AllAnswerWithin),
-      giveUpAt_(now + GiveUpAfter)
+Predecessor::Predecessor(BatchHeader last, const std::set<Address> &listed, Instant now)
+    : process_(std::move(last.holder)), preferAllUntil_(now + AllResponsesTimeout),
+      giveUpAt_(now + GiveUpTimeout)
 {
     for (PeerClock &peer : last.peers) {
         if (listed.count(peer.address) > 0) {
             const Address address = peer.address;
-            asked_[address] = {std::move(peer), std::nullopt};
+            queriedPeers_[address] = {std::move(peer), std::nullopt};
         }
     }
 }
 
-std::vector<Predecessor::Address> Predecessor::asks(Instant now)
+std::vector<Predecessor::Address> Predecessor::addressesToQuery(Instant now)
 {
     std::vector<Address> addresses;
-    if (now < askAgainAt_) {
+    if (now < nextQueryAt_) {
         return addresses;
     }
-    askAgainAt_ = now + AskAgainAfter;
-    for (const auto &[address, asked] : asked_) {
-        if (!asked.answer) {
+    nextQueryAt_ = now + RetryInterval;
+    for (const auto &[address, queried] : queriedPeers_) {
+        if (!queried.response) {
             addresses.push_back(address);
         }
     }
     return addresses;
 }
 
-void Predecessor::onAnswer(const ClockAnswer &answer)
+void Predecessor::onResponse(const ClockResponse &response)
 {
-    const auto found = asked_.find(answer.address);
-    if (found != asked_.end() && !found->second.answer) {
-        found->second.answer = answer;
+    const auto found = queriedPeers_.find(response.address);
+    if (found != queriedPeers_.end() && !found->second.response) {
+        found->second.response = response;
     }
 }
 
-std::size_t Predecessor::answered() const
+std::size_t Predecessor::responseCount() const
 {
     return static_cast<std::size_t>(
-            std::count_if(asked_.begin(), asked_.end(),
-                          [](const auto &entry) { return entry.second.answer.has_value(); }));
+            std::count_if(queriedPeers_.begin(), queriedPeers_.end(),
+                          [](const auto &entry) { return entry.second.response.has_value(); }));
 }
 
-bool Predecessor::decided(Instant now) const
+bool Predecessor::isComplete(Instant now) const
 {
-    return answered() == asked() || now >= giveUpAt_ || (now >= allAnswerBy_ && bound());
+    return responseCount() == queriedCount() || now >= giveUpAt_
+           || (now >= preferAllUntil_ && elapsedUpperBound());
 }
 
-std::optional<Millis> Predecessor::bound() const
+std::optional<Millis> Predecessor::elapsedUpperBound() const
 {
     std::vector<PeerClockReadings> spans;
-    for (const auto &[address, asked] : asked_) {
-        if (asked.answer) {
-            spans.push_back({asked.before.process, Incarnation(processMark(asked.answer->process)),
-                             asked.before.sinceBoot, asked.answer->sinceBoot,
-                             asked.answer->askedAfterStart});
+    for (const auto &[address, queried] : queriedPeers_) {
+        if (queried.response) {
+            spans.push_back({queried.earlierReading.process,
+                             Incarnation(shortProcessId(queried.response->process)),
+                             queried.earlierReading.sinceBoot, queried.response->sinceBoot,
+                             queried.response->requestedAfterStart});
         }
     }
     return elapsedBound(spans);
--- a/lib/Edge/Predecessor.h
+++ b/lib/Edge/Predecessor.h
@@ -1,8 +1,9 @@
 #ifndef SEQUOIAGATE_LIB_EDGE_PREDECESSOR_H
 #define SEQUOIAGATE_LIB_EDGE_PREDECESSOR_H
 
-/// Finds out how long the process that this host ran before had been without a batch when it
-/// ended, by asking the peers whose clocks its last batch names. Pure: it says whom to ask.
+/// Determines an upper bound of the time between the last batch of this host's previous process
+/// and its end, from the clocks of the peers that the batch names. Does no I/O: the caller sends
+/// the requests and passes on the responses.
 
 #include <map>
 #include <optional>
@@ -21,32 +22,34 @@
 public:
     using Address = boost::asio::ip::udp::endpoint;
 
-    /// \p last is the predecessor's last batch; \p listed are the addresses that can be asked.
+    /// \p last is the predecessor's last batch; \p listed are the addresses of the listed peers,
+    /// the only ones that are queried.
     /// \pre the predecessor ended before this process started
-    Predecessor(BatchMoment last, const std::set<Address> &listed, Instant now);
+    Predecessor(BatchHeader last, const std::set<Address> &listed, Instant now);
 
     const Incarnation &process() const { return process_; }
-    /// Whom to ask now.
-    std::vector<Address> asks(Instant now);
-    void onAnswer(const ClockAnswer &answer);
-    /// Whether no more answers are worth the wait.
-    bool decided(Instant now) const;
-    std::size_t asked() const { return asked_.size(); }
-    std::size_t answered() const;
-    /// An upper bound of the time between its last batch and this process's start.
-    std::optional<Millis> bound() const;
+    /// The addresses to send a request to now; empty until the next one is due.
+    std::vector<Address> addressesToQuery(Instant now);
+    void onResponse(const ClockResponse &response);
+    /// Whether to stop waiting for responses.
+    bool isComplete(Instant now) const;
+    std::size_t queriedCount() const { return queriedPeers_.size(); }
+    std::size_t responseCount() const;
+    /// An upper bound of the time between the predecessor's last batch and the start of this
+    /// process; nullopt if the responses give none.
+    std::optional<Millis> elapsedUpperBound() const;
 
 private:
-    struct Asked
+    struct QueriedPeer
     {
-        PeerClock before;
-        std::optional<ClockAnswer> answer;
+        PeerClock earlierReading;
+        std::optional<ClockResponse> response;
     };
 
     Incarnation process_;
-    std::map<Address, Asked> asked_;
-    Instant askAgainAt_{};
-    Instant allAnswerBy_; ///< then those that did are enough, if they give a bound
+    std::map<Address, QueriedPeer> queriedPeers_;
+    Instant nextQueryAt_{};
+    Instant preferAllUntil_; ///< from then on a subset that gives a bound is enough
     Instant giveUpAt_;
 };
 
--- a/lib/Edge/StatusServer.cpp
+++ b/lib/Edge/StatusServer.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-/// Whoever asks does so every second or few.
+/// Monitoring clients send a request every few seconds.
 constexpr Interval IdleTimeout = std::chrono::seconds(10);
 
 class StatusConnection : public std::enable_shared_from_this<StatusConnection>
@@ -50,7 +50,7 @@
                     }
                     self->reader_->feed(std::string_view(self->buffer_.data(), bytes));
                     if (self->reader_->done()) {
-                        self->answer();
+                        self->respond();
                     } else if (self->reader_->fault() == HttpParseError::None) {
                         self->read();
                     } else {
@@ -59,7 +59,7 @@
                 });
     }
 
-    void answer()
+    void respond()
     {
         const StatusPage page = page_();
         ResponseHead head;
@@ -67,9 +67,9 @@
         head.fields = {{"Content-Type", page.type}};
         head.keepAlive = reader_->head().keepAlive;
         const bool keep = head.keepAlive;
-        answer_ = writeResponseHead(head, BodyFraming::Length, page.body.size()) + page.body;
+        response_ = writeResponseHead(head, BodyFraming::Length, page.body.size()) + page.body;
         boost::asio::async_write(
-                socket_, boost::asio::buffer(answer_),
+                socket_, boost::asio::buffer(response_),
                 [self = shared_from_this(), keep](const error_code &error, std::size_t) {
                     if (!error && keep) {
                         self->start();
@@ -84,7 +84,7 @@
     const StatusServer::Page &page_;
     std::optional<RequestReader> reader_;
     std::array<char, 1024> buffer_;
-    std::string answer_;
+    std::string response_;
 };
 
 } // namespace
--- a/lib/Edge/StatusServer.h
+++ b/lib/Edge/StatusServer.h
@@ -1,7 +1,7 @@
 #ifndef SEQUOIAGATE_LIB_EDGE_STATUSSERVER_H
 #define SEQUOIAGATE_LIB_EDGE_STATUSSERVER_H
 
-/// A small HTTP server for whoever watches the process: readiness, metrics.
+/// A small HTTP server for monitoring: serves readiness or metrics.
 
 #include <functional>
 #include <string>
@@ -27,8 +27,8 @@
 public:
     using Page = std::function<StatusPage()>;
 
-    /// Every request gets what \p page returns at that moment.
-    /// \throws boost::system::system_error if the address can't be had
+    /// Calls \p page for every request and sends its result.
+    /// \throws boost::system::system_error if the address can't be bound
     StatusServer(boost::asio::io_context &io, const boost::asio::ip::tcp::endpoint &listen,
                  Page page);
 
--- a/lib/Edge/TokenService.cpp
+++ b/lib/Edge/TokenService.cpp
@@ -15,41 +15,42 @@
 
 namespace {
 
-/// How often tokens are claimed, asked for and waited for. A claim takes some 15 ms, a move
-/// a few; a request that waits sees at most this beside.
+/// How often claims, token requests and waiting requests are processed. A claim takes about 15 ms
+/// and a transfer a few; a waiting request is delayed by at most this in addition.
 constexpr Interval TickInterval = std::chrono::milliseconds(25);
 
-/// The longest that a request waits for tokens: time for a claim (some 15 ms) and, where the
-/// store has none, for several rounds of asking peers.
-constexpr Interval TokenWait = std::chrono::milliseconds(200);
+/// The longest that a request waits for tokens: enough for a claim (about 15 ms) and, if the store
+/// has no tokens left, for several rounds of token requests to peers.
+constexpr Interval MaxTokenWait = std::chrono::milliseconds(200);
 
-/// For this long after a shortage requests of that size aren't held again.
-constexpr Interval ShortageLasts = std::chrono::milliseconds(300);
+/// For this long after a request found too few tokens, requests for as many are refused at once.
+constexpr Interval ShortageDuration = std::chrono::milliseconds(300);
 
-/// When to come back where the store is away: it isn't known when it returns.
-constexpr Interval ComeBackWithoutStore = std::chrono::milliseconds(1000);
+/// Retry delay told to callers while the store is unreachable, which may last any time.
+constexpr Interval RetryDelayWithoutStore = std::chrono::milliseconds(1000);
 
-/// When to come back while the store still has tokens, or others' requests are ending.
-constexpr Interval ComeBackWithStore = std::chrono::milliseconds(400);
+/// Retry delay told to callers while the store still has tokens or open requests may return some.
+constexpr Interval RetryDelayWithStore = std::chrono::milliseconds(400);
 
-constexpr Interval AppendAgain = std::chrono::milliseconds(120);
-constexpr Interval AppendAgainRejected = std::chrono::seconds(1);
+constexpr Interval AppendRetryDelay = std::chrono::milliseconds(120);
+constexpr Interval RejectedAppendRetryDelay = std::chrono::seconds(1);
 
-/// Reads of the own topic are paced, since each of the fleet's claims would wake all.
-constexpr Interval ReadPace = std::chrono::milliseconds(60);
-constexpr Interval ReadPacePerProcess = std::chrono::milliseconds(6);
+/// Minimum interval between reads of the edge's topic; without it, every claim in the fleet would
+/// wake up all processes.
+constexpr Interval MinReadInterval = std::chrono::milliseconds(60);
+constexpr Interval MinReadIntervalPerProcess = std::chrono::milliseconds(6);
 
-constexpr Interval ReportInterval = std::chrono::seconds(2);
+constexpr Interval StateLogInterval = std::chrono::seconds(2);
 
-/// A dead process's last batch must be younger than the holder's own bound by this, since
-/// the two clocks that are read for them aren't read in one moment.
-constexpr Millis SealMargin = std::chrono::milliseconds(50);
+/// Added to the time that may have passed between a dead process's last batch and its end, since
+/// the process read its clock and applied its own limit at slightly different times.
+constexpr Millis ElapsedMargin = std::chrono::milliseconds(50);
 
 FollowerSettings followerSettings(const std::string &topic)
 {
     FollowerSettings settings;
     settings.topic = topic;
-    settings.pace = ReadPace;
+    settings.pace = MinReadInterval;
     return settings;
 }
 
@@ -60,24 +61,24 @@
     : store_(store), settings_(std::move(settings)), log_(log), metrics_(metrics),
       holder_(settings_.incarnation, settings_.holder),
       peers_(io, settings_.listenPeers, settings_.incarnation, settings_.domain, log,
-             {[this](const TokenRequest &ask) {
-                  return give(ask, std::chrono::steady_clock::now());
+             {[this](const TokenRequest &request) {
+                  return transferOut(request, std::chrono::steady_clock::now());
               },
-              [this](const WorkspaceId &workspace) { return held(workspace); },
+              [this](const WorkspaceId &workspace) { return heldTokens(workspace); },
               [this](const WorkspaceId &workspace, uint64_t tokens) {
                   const Instant now = std::chrono::steady_clock::now();
                   holder_.transferIn(workspace, tokens, now);
-                  serveWaiting(now);
+                  serveWaitingRequests(now);
               },
-              [this](const ClockAnswer &answer) {
-                  onClock(answer);
+              [this](const ClockResponse &response) {
+                  onClockResponse(response);
               }}),
       follower_(io, store, followerSettings(settings_.topic),
                 {[this](const std::vector<StoreRow> &rows, bool) { onRows(rows); },
                  [this](uint64_t next) {
                      if (holder_.onReadUpTo(next)) {
-                         acknowledged_ = true;
-                         serveWaiting(std::chrono::steady_clock::now());
+                         batchAcknowledged_ = true;
+                         serveWaitingRequests(std::chrono::steady_clock::now());
                      }
                  },
                  [this](bool reachable, StoreOutcome outcome) {
@@ -102,7 +103,7 @@
     timer_.expires_after(TickInterval);
     timer_.async_wait([this](const boost::system::error_code &error) {
         if (!error) {
-            // Armed first: the tokens are to be returned also if a tick fails.
+            // Armed first, so that the tokens are returned even if a tick throws.
             armTick();
             tick();
         }
@@ -114,21 +115,21 @@
     const Instant now = std::chrono::steady_clock::now();
     holder_.setStoreReachable(follower_.current());
     sealPredecessor(now);
-    askClocks(now);
-    write();
-    askPeers(now);
-    returnLeftovers(now);
+    requestClocks(now);
+    writeBatch();
+    requestFromPeers(now);
+    returnUnusedTokens(now);
     peers_.tick(now);
-    serveWaiting(now);
-    expireWaiting(now);
-    if (now >= reportAt_) {
-        reportAt_ = now + ReportInterval;
-        report();
+    serveWaitingRequests(now);
+    expireWaitingRequests(now);
+    if (now >= nextStateLogAt_) {
+        nextStateLogAt_ = now + StateLogInterval;
+        logTokenStates();
     }
     finishStop(now);
 }
 
-void TokenService::report()
+void TokenService::logTokenStates()
 {
     const bool current = follower_.reachable() && follower_.caughtUp();
     std::vector<TokenState> states;
@@ -162,36 +163,37 @@
 {
     bool hostsChanged = false;
     for (const StoreRow &row : rows) {
-        noteReadBack(row);
-        switch (ledgerRowOf(row.key)) {
-        case LedgerRow::Budget:
+        confirmBatchIfReadBack(row);
+        switch (ledgerRowKind(row.key)) {
+        case LedgerRowKind::Budget:
             onBudgetRow(row);
             break;
-        case LedgerRow::Batch:
+        case LedgerRowKind::Batch:
             onBatchRow(row);
             break;
-        case LedgerRow::Host:
+        case LedgerRowKind::Host:
             onHostRow(row);
             hostsChanged = true;
             break;
-        case LedgerRow::Unknown:
+        case LedgerRowKind::Unknown:
             log_.write(Event("ledger.malformed").with("key", row.key));
             break;
         }
     }
     if (hostsChanged) {
-        publishPeers();
+        updatePeers();
     }
 }
 
-void TokenService::noteReadBack(const StoreRow &row)
+void TokenService::confirmBatchIfReadBack(const StoreRow &row)
 {
-    // A batch is written whole, so its last row tells of all. Its answer may be lost, at every
-    // try; a host that had just started could then claim nothing for seconds.
+    // Batches are written atomically, so the last row confirms all of them. The response to the
+    // append may be lost at every attempt; without this check a host that has just started could
+    // then claim nothing for seconds.
     const bool isLast =
             batch_ && row.key == batch_->rows.back().key && row.value == batch_->rows.back().value;
     if (isLast) {
-        acknowledged_ = true;
+        batchAcknowledged_ = true;
         holder_.onBatchWritten();
     }
 }
@@ -216,13 +218,13 @@
 
 void TokenService::findPredecessor()
 {
-    const std::optional<Peer> listed = std::exchange(listedBefore_, std::nullopt);
+    const std::optional<Peer> listed = std::exchange(previousProcess_, std::nullopt);
     if (!listed) {
         return;
     }
-    // The address is this process's now, so whoever had it before has ended.
-    const bool sameAddress = listed->listens == settings_.listenPeers;
-    const std::optional<BatchMoment> batch = peerClocks_->lastBatchOf(listed->incarnation);
+    // This process has bound the address, so the process that had it before has ended.
+    const bool sameAddress = listed->listenAddress == settings_.listenPeers;
+    const std::optional<BatchHeader> batch = peerClocks_->lastBatchOf(listed->incarnation);
     if (!sameAddress || !batch) {
         log_.write(Event("ledger.predecessor_unsealed")
                            .with("holder", listed->incarnation)
@@ -243,70 +245,70 @@
     if (!predecessor_) {
         return;
     }
-    if (!predecessor_->decided(now)) {
-        const auto asked = std::chrono::duration_cast<Millis>(now - startedAt_);
-        for (const Predecessor::Address &address : predecessor_->asks(now)) {
-            peers_.askClock(address, asked);
+    if (!predecessor_->isComplete(now)) {
+        const auto sinceStart = std::chrono::duration_cast<Millis>(now - startedAt_);
+        for (const Predecessor::Address &address : predecessor_->addressesToQuery(now)) {
+            peers_.requestClock(address, sinceStart);
         }
         return;
     }
-    const std::optional<Millis> bound = predecessor_->bound();
+    const std::optional<Millis> bound = predecessor_->elapsedUpperBound();
     std::optional<Interval> elapsed;
     if (bound) {
-        elapsed = *bound + SealMargin;
+        elapsed = *bound + ElapsedMargin;
     }
     seals_ = holder_.sealRows(predecessor_->process(), elapsed);
     log_.write(Event("ledger.predecessor")
                        .with("holder", predecessor_->process())
                        .with("silent_ms", bound ? bound->count() : -1)
-                       .with("asked", predecessor_->asked())
-                       .with("answered", predecessor_->answered())
+                       .with("asked", predecessor_->queriedCount())
+                       .with("answered", predecessor_->responseCount())
                        .with("sealed", elapsed && *elapsed < settings_.holder.batchValidity)
                        .essential());
-    reportGivenUp(predecessor_->process(), elapsed);
+    logWrittenOffTokens(predecessor_->process(), elapsed);
     predecessor_.reset();
 }
 
-void TokenService::reportGivenUp(const Incarnation &dead, std::optional<Interval> elapsed)
+void TokenService::logWrittenOffTokens(const Incarnation &dead, std::optional<Interval> elapsed)
 {
-    std::string_view why = "end_not_dated";
+    std::string_view reason = "end_not_dated";
     if (elapsed) {
-        why = *elapsed < settings_.holder.batchValidity ? "sealed" : "silent_too_long";
+        reason = *elapsed < settings_.holder.batchValidity ? "sealed" : "silent_too_long";
     }
-    std::map<WorkspaceId, uint64_t> kept;
+    std::map<WorkspaceId, uint64_t> sealedTokens;
     for (const AllotmentRow &row : seals_) {
-        kept[row.workspace] = row.allotment.tokens;
+        sealedTokens[row.workspace] = row.allotment.tokens;
     }
     for (const AllotmentRow &row : holder_.rowsOf(dead)) {
         const uint64_t owned = row.allotment.tokens;
-        const auto seal = kept.find(row.workspace);
-        const uint64_t tokens = seal == kept.end() ? owned : seal->second;
+        const auto seal = sealedTokens.find(row.workspace);
+        const uint64_t tokens = seal == sealedTokens.end() ? owned : seal->second;
         log_.write(Event("tokens.given_up")
                            .with("workspace", row.workspace)
                            .with("holder", dead)
                            .with("tokens", tokens)
                            .with("given_back", owned - tokens)
-                           .with("why", why)
+                           .with("why", reason)
                            .essential());
     }
 }
 
-void TokenService::onClock(const ClockAnswer &answer)
+void TokenService::onClockResponse(const ClockResponse &response)
 {
-    peerClocks_->onAnswer(answer, std::chrono::steady_clock::now());
+    peerClocks_->onResponse(response, std::chrono::steady_clock::now());
     if (predecessor_) {
-        predecessor_->onAnswer(answer);
+        predecessor_->onResponse(response);
     }
 }
 
-void TokenService::askClocks(Instant now)
+void TokenService::requestClocks(Instant now)
 {
-    // Without unused tokens in its rows, a successor has nothing to give back.
+    // A successor has nothing to return unless a row of this process leaves tokens unused.
     if (!holder_.anyRowHasUnusedTokens()) {
         return;
     }
-    for (const boost::asio::ip::udp::endpoint &address : peerClocks_->asks(now)) {
-        peers_.askClock(address, Millis(0));
+    for (const boost::asio::ip::udp::endpoint &address : peerClocks_->peersToQuery(now)) {
+        peers_.requestClock(address, Millis(0));
     }
 }
 
@@ -324,18 +326,18 @@
             return;
         }
         if (peer.incarnation != settings_.incarnation) {
-            listedBefore_ = peer;
+            previousProcess_ = peer;
             return;
         }
-        ownRowRead_ = true;
-        // The own row has been read back: whatever the predecessor wrote stands before it.
+        ownHostRowRead_ = true;
+        // This process's row was read back, so all rows of the predecessor were read before it.
         findPredecessor();
     } catch (const std::exception &error) {
         log_.write(Event("peer.malformed").with("host", host).with("why", error.what()));
     }
 }
 
-void TokenService::publishPeers()
+void TokenService::updatePeers()
 {
     std::vector<Peer> peers;
     for (const auto &[name, peer] : hosts_) {
@@ -345,14 +347,14 @@
     }
     const auto count = static_cast<uint32_t>(peers.size() + 1);
     holder_.setHolderCount(count);
-    // Every process's batches wake every reader: the reads a second of the fleet would grow
-    // with the square of its size. Own batches are read back without the pause.
-    follower_.setPace(std::max<Interval>(ReadPace, ReadPacePerProcess * count));
+    // Each process's batches wake all readers, so without this the fleet's reads per second would
+    // grow with the square of its size. Own batches are read back without this delay.
+    follower_.setPace(std::max<Interval>(MinReadInterval, MinReadIntervalPerProcess * count));
     peerClocks_->setPeers(peers);
     peers_.setPeers(std::move(peers));
     chooseHomes();
-    if (onProcesses) {
-        onProcesses(count);
+    if (onProcessCountChanged) {
+        onProcessCountChanged(count);
     }
 }
 
@@ -366,8 +368,8 @@
     TokenHomes tokenHomes;
     tokenHomes.setHosts(locations);
     for (const WorkspaceId &workspace : holder_.workspaces()) {
-        // Processes that know of different hosts may choose different homes. This costs an extra
-        // round of asks.
+        // Processes that know different hosts may choose different homes, which costs an extra
+        // round of token requests.
         const std::vector<HostLocation> homes = tokenHomes.homesOf(workspace);
         std::vector<Peer> others;
         for (const HostLocation &home : homes) {
@@ -381,19 +383,19 @@
     }
 }
 
-void TokenService::write()
+void TokenService::writeBatch()
 {
-    // Read before the batch is composed: what the batch says of the time may be older than what
-    // the holder keeps to, never younger, also if the process sleeps in between.
+    // Read before the batch is composed: the clock reading in the batch may be older than the time
+    // that the holder's limits start from but never newer, even if the process is suspended here.
     const Millis clock = sinceBoot();
     const Instant now = std::chrono::steady_clock::now();
     if (batch_) {
-        if (!appending_ && !acknowledged_ && now >= appendAgainAt_) {
-            append();
+        if (!appending_ && !batchAcknowledged_ && now >= retryAppendAt_) {
+            appendBatch();
         }
-        // A batch with claims is settled when its rows have been read back.
-        const bool settled = acknowledged_ && (!batchHasTokens_ || !holder_.batchInFlight());
-        if (acknowledged_ && !settled) {
+        // A batch with claims is complete when its rows have been read back.
+        const bool settled = batchAcknowledged_ && (!batchHasClaims_ || !holder_.batchInFlight());
+        if (batchAcknowledged_ && !settled) {
             follower_.hurry();
         }
         if (!settled) {
@@ -412,7 +414,7 @@
     for (const AllotmentRow &row : rows.value_or(std::vector<AllotmentRow>())) {
         batch.rows.push_back(encodeBudget(row));
     }
-    batchHasTokens_ = !batch.rows.empty();
+    batchHasClaims_ = !batch.rows.empty();
     if (rows) {
         batch.rows.push_back(
                 encodeBatch({settings_.incarnation, clock, peerClocks_->newestClocks(now)}));
@@ -420,46 +422,46 @@
     for (const AllotmentRow &row : std::exchange(seals_, {})) {
         batch.rows.push_back(encodeBudget(row));
     }
-    if (!announced_) {
+    if (!hostRowQueued_) {
         batch.rows.push_back(encodeHost({settings_.host, settings_.domain, settings_.incarnation,
-                                         settings_.announcePeers, settings_.listenPeers}));
-        announced_ = true;
+                                         settings_.advertisePeers, settings_.listenPeers}));
+        hostRowQueued_ = true;
     }
-    if (stopped_ && !farewell_) {
-        batch.rows.push_back(encodeFarewell(settings_.host));
-        farewell_ = true;
+    if (onStopped_ && !hostRemovalQueued_) {
+        batch.rows.push_back(encodeHostRemoval(settings_.host));
+        hostRemovalQueued_ = true;
     }
     if (batch.rows.empty()) {
         return;
     }
     ++nextSeq_;
     batch_ = std::move(batch);
-    acknowledged_ = false;
-    append();
+    batchAcknowledged_ = false;
+    appendBatch();
 }
 
-void TokenService::append()
+void TokenService::appendBatch()
 {
     appending_ = true;
     const Instant sentAt = std::chrono::steady_clock::now();
-    store_.append(*batch_, [this, sentAt, seq = batch_->seq](const AppendAnswer &answer) {
+    store_.append(*batch_, [this, sentAt, seq = batch_->seq](const AppendAnswer &response) {
         metrics_.observe("ledger_append_seconds", std::chrono::steady_clock::now() - sentAt);
-        // A batch that was read back is done, whatever becomes of its answer: waiting for
-        // one that is lost would hold up the next claim for as long as the time-out.
+        // A batch that was read back is complete even without a response. Waiting for a lost
+        // response would delay the next claim until the timeout.
         if (batch_ && batch_->seq == seq) {
-            onAppended(answer);
+            onAppended(response);
         }
     });
 }
 
-void TokenService::onAppended(const AppendAnswer &answer)
+void TokenService::onAppended(const AppendAnswer &response)
 {
     appending_ = false;
     const Instant now = std::chrono::steady_clock::now();
     metrics_.count("ledger_appends_total",
-                   {{"outcome", std::string(storeOutcomeName(answer.outcome))}});
-    if (answer.outcome == StoreOutcome::Ok) {
-        acknowledged_ = true;
+                   {{"outcome", std::string(storeOutcomeName(response.outcome))}});
+    if (response.outcome == StoreOutcome::Ok) {
+        batchAcknowledged_ = true;
         holder_.onBatchWritten();
         if (holder_.batchInFlight()) {
             follower_.hurry();
@@ -467,20 +469,20 @@
         return;
     }
     log_.write(Event("ledger.append_failed")
-                       .with("outcome", storeOutcomeName(answer.outcome))
+                       .with("outcome", storeOutcomeName(response.outcome))
                        .with("seq", batch_->seq));
-    if (answer.outcome == StoreOutcome::OutOfOrder && answer.expectedSeq) {
-        // The batch is in the store already, or the store counts from another number.
-        if (*answer.expectedSeq == batch_->seq + 1) {
-            acknowledged_ = true;
+    if (response.outcome == StoreOutcome::OutOfOrder && response.expectedSeq) {
+        // The batch is already in the store, or the store expects another sequence number.
+        if (*response.expectedSeq == batch_->seq + 1) {
+            batchAcknowledged_ = true;
             holder_.onBatchWritten();
             return;
         }
-        batch_->seq = *answer.expectedSeq;
+        batch_->seq = *response.expectedSeq;
         nextSeq_ = batch_->seq + 1;
     }
-    const bool rejected = answer.outcome == StoreOutcome::Rejected;
-    appendAgainAt_ = now + (rejected ? AppendAgainRejected : AppendAgain);
+    const bool rejected = response.outcome == StoreOutcome::Rejected;
+    retryAppendAt_ = now + (rejected ? RejectedAppendRetryDelay : AppendRetryDelay);
 }
 
 TokenRequestId TokenService::reserve(const WorkspaceId &workspace, uint64_t tokens,
@@ -492,38 +494,39 @@
         handler(std::nullopt);
         return 0;
     }
-    Waiting waiting{++lastTicket_,     workspace, tokens, now, std::min(deadline, now + TokenWait),
-                    std::move(handler)};
-    const auto known = shortages_.find(workspace);
-    const bool isKnown = known != shortages_.end() && now < known->second.until
-                         && tokens >= known->second.tokens
+    WaitingRequest waiting{
+            ++lastRequestId_,  workspace, tokens, now, std::min(deadline, now + MaxTokenWait),
+            std::move(handler)};
+    const auto recent = shortages_.find(workspace);
+    const bool isShort = recent != shortages_.end() && now < recent->second.until
+                         && tokens >= recent->second.tokens
                          && holder_.budgetState(workspace, tokens) != BudgetState::Available;
-    if (isKnown) {
-        // The failed reservation noted this request as waiting.
-        updateShortOf(workspace);
+    if (isShort) {
+        // The failed reservation counted this request as waiting.
+        updateRequiredTokens(workspace);
         const auto refuse = std::move(waiting.handler);
-        refuse(shortage(waiting, now));
+        refuse(shortageVerdict(waiting, now));
         return 0;
     }
-    const TokenRequestId ticket = waiting.ticket;
-    waiting_.push_back(std::move(waiting));
-    updateShortOf(workspace);
-    write();
-    askPeers(now);
-    return ticket;
+    const TokenRequestId requestId = waiting.requestId;
+    waitingRequests_.push_back(std::move(waiting));
+    updateRequiredTokens(workspace);
+    writeBatch();
+    requestFromPeers(now);
+    return requestId;
 }
 
-void TokenService::cancel(TokenRequestId ticket)
+void TokenService::cancel(TokenRequestId requestId)
 {
-    const auto found =
-            std::find_if(waiting_.begin(), waiting_.end(),
-                         [ticket](const Waiting &waiting) { return waiting.ticket == ticket; });
-    if (found == waiting_.end()) {
+    const auto found = std::find_if(
+            waitingRequests_.begin(), waitingRequests_.end(),
+            [requestId](const WaitingRequest &waiting) { return waiting.requestId == requestId; });
+    if (found == waitingRequests_.end()) {
         return;
     }
     const WorkspaceId workspace = found->workspace;
-    waiting_.erase(found);
-    updateShortOf(workspace);
+    waitingRequests_.erase(found);
+    updateRequiredTokens(workspace);
 }
 
 void TokenService::settle(const WorkspaceId &workspace, uint64_t reserved, uint64_t spent)
@@ -531,107 +534,108 @@
     const Instant now = std::chrono::steady_clock::now();
     holder_.settle(workspace, reserved, spent, now);
     metrics_.count("ledger_tokens_spent_total", {}, spent);
-    if (!waiting_.empty()) {
-        serveWaiting(now);
+    if (!waitingRequests_.empty()) {
+        serveWaitingRequests(now);
     }
 }
 
-void TokenService::serveWaiting(Instant now)
+void TokenService::serveWaitingRequests(Instant now)
 {
-    std::list<Waiting> served;
-    for (auto waiting = waiting_.begin(); waiting != waiting_.end();) {
+    std::list<WaitingRequest> served;
+    for (auto waiting = waitingRequests_.begin(); waiting != waitingRequests_.end();) {
         const auto next = std::next(waiting);
         if (holder_.reserve(waiting->workspace, waiting->tokens, now)) {
-            served.splice(served.end(), waiting_, waiting);
+            served.splice(served.end(), waitingRequests_, waiting);
         }
         waiting = next;
     }
-    for (const Waiting &waiting : served) {
-        updateShortOf(waiting.workspace);
+    for (const WaitingRequest &waiting : served) {
+        updateRequiredTokens(waiting.workspace);
         waiting.handler(std::nullopt);
     }
 }
 
-void TokenService::updateShortOf(const WorkspaceId &workspace)
+void TokenService::updateRequiredTokens(const WorkspaceId &workspace)
 {
     uint64_t tokens = 0;
-    for (const Waiting &waiting : waiting_) {
+    for (const WaitingRequest &waiting : waitingRequests_) {
         tokens += waiting.workspace == workspace ? waiting.tokens : 0;
     }
     holder_.setRequiredTokens(workspace, tokens);
 }
 
-void TokenService::expireWaiting(Instant now)
+void TokenService::expireWaitingRequests(Instant now)
 {
-    std::list<Waiting> expired;
-    for (auto waiting = waiting_.begin(); waiting != waiting_.end();) {
+    std::list<WaitingRequest> expired;
+    for (auto waiting = waitingRequests_.begin(); waiting != waitingRequests_.end();) {
         const auto next = std::next(waiting);
         if (now >= waiting->deadline) {
-            expired.splice(expired.end(), waiting_, waiting);
+            expired.splice(expired.end(), waitingRequests_, waiting);
         }
         waiting = next;
     }
-    for (const Waiting &waiting : expired) {
-        shortages_[waiting.workspace] = {waiting.tokens, now + ShortageLasts};
-        updateShortOf(waiting.workspace);
-        waiting.handler(shortage(waiting, now));
+    for (const WaitingRequest &waiting : expired) {
+        shortages_[waiting.workspace] = {waiting.tokens, now + ShortageDuration};
+        updateRequiredTokens(waiting.workspace);
+        waiting.handler(shortageVerdict(waiting, now));
     }
 }
 
-Verdict TokenService::shortage(const Waiting &waiting, Instant now) const
+Verdict TokenService::shortageVerdict(const WaitingRequest &waiting, Instant now) const
 {
     const BudgetState state = holder_.budgetState(waiting.workspace, waiting.tokens);
-    const std::string detail =
-            fmt::format("{} tokens wanted, {} at hand, {} given to nobody", waiting.tokens,
-                        holder_.usable(waiting.workspace), holder_.unallotted(waiting.workspace));
+    const std::string detail = fmt::format(
+            "{} tokens requested, {} available on this host, {} unallotted", waiting.tokens,
+            holder_.usable(waiting.workspace), holder_.unallotted(waiting.workspace));
     if (state == BudgetState::Unreachable) {
-        return {Execution::NotRun, Reason::BudgetUnreachable, detail, now + ComeBackWithoutStore};
-    }
-    // "Spent" is said only when nobody has enough or may get it back, as far as each peer said
-    // just now.
-    constexpr Interval Fresh = std::chrono::milliseconds(1000);
-    const std::optional<uint64_t> elsewhere = peers_.heldElsewhere(waiting.workspace, now - Fresh);
-    const HeldTokens here = held(waiting.workspace);
+        return {Execution::NotRun, Reason::BudgetUnreachable, detail, now + RetryDelayWithoutStore};
+    }
+    // The budget counts as spent only if, by recent reports of all peers, the tokens that are held
+    // or may be returned don't suffice.
+    constexpr Interval MaxReportAge = std::chrono::milliseconds(1000);
+    const std::optional<uint64_t> elsewhere =
+            peers_.heldByPeers(waiting.workspace, now - MaxReportAge);
+    const HeldTokens here = heldTokens(waiting.workspace);
     const bool spent =
-            state == BudgetState::Exhausted && elsewhere && !here.settling
+            state == BudgetState::Exhausted && elsewhere && !here.predecessorPending
             && *elsewhere + here.usable + here.reserved + holder_.unallotted(waiting.workspace)
                        < waiting.tokens;
     if (spent) {
         return {Execution::NotRun, Reason::BudgetSpent, detail, std::nullopt};
     }
-    return {Execution::NotRun, Reason::BudgetUnreachable, detail, now + ComeBackWithStore};
+    return {Execution::NotRun, Reason::BudgetUnreachable, detail, now + RetryDelayWithStore};
 }
 
-HeldTokens TokenService::held(const WorkspaceId &workspace) const
+HeldTokens TokenService::heldTokens(const WorkspaceId &workspace) const
 {
-    const bool isSettling = !ownRowRead_ || predecessor_ || !seals_.empty();
+    const bool isSettling = !ownHostRowRead_ || predecessor_ || !seals_.empty();
     return {holder_.usable(workspace), holder_.reserved(workspace), isSettling};
 }
 
-uint64_t TokenService::give(const TokenRequest &ask, Instant now)
+uint64_t TokenService::transferOut(const TokenRequest &request, Instant now)
 {
-    const uint64_t tokens = holder_.transferOut(ask, now);
-    if (tokens < ask.need) {
-        write(); // claims the missing tokens before the peer asks again, if possible
+    const uint64_t tokens = holder_.transferOut(request, now);
+    if (tokens < request.need) {
+        writeBatch(); // claims the missing tokens, if possible before the peer's next request
     }
     return tokens;
 }
 
-void TokenService::askPeers(Instant now)
+void TokenService::requestFromPeers(Instant now)
 {
-    for (const TokenRequest &ask : holder_.peerRequests(now)) {
-        peers_.ask(ask);
+    for (const TokenRequest &request : holder_.peerRequests(now)) {
+        peers_.requestTokens(request);
     }
 }
 
-void TokenService::returnLeftovers(Instant now)
+void TokenService::returnUnusedTokens(Instant now)
 {
     for (const WorkspaceId &workspace : holder_.workspaces()) {
-        if (!peers_.homeAnsweredRecently(workspace, now)) {
+        if (!peers_.homeRespondedRecently(workspace, now)) {
             continue;
         }
         if (const uint64_t tokens = holder_.releaseLeftover(workspace, now)) {
-            peers_.moveToHome(workspace, tokens, now);
+            peers_.transferToHome(workspace, tokens, now);
         }
     }
 }
@@ -639,23 +643,23 @@
 void TokenService::stop(Instant deadline, std::function<void()> done)
 {
     stopDeadline_ = deadline;
-    stopped_ = std::move(done);
+    onStopped_ = std::move(done);
     holder_.returnAll();
 }
 
 void TokenService::finishStop(Instant now)
 {
-    if (!stopped_) {
+    if (!onStopped_) {
         return;
     }
-    // What requests that ended meanwhile gave back goes with the next batch.
+    // Tokens of requests that have ended since then go into the next batch.
     holder_.returnAll();
-    const bool written = farewell_ && !batch_;
+    const bool written = hostRemovalQueued_ && !batch_;
     if (!written && now < stopDeadline_) {
         return;
     }
-    const auto done = std::exchange(stopped_, nullptr);
-    report();
+    const auto done = std::exchange(onStopped_, nullptr);
+    logTokenStates();
     timer_.cancel();
     follower_.stop();
     done();
--- a/unittests/Edge/EndpointDirectoryTest.cpp
+++ b/unittests/Edge/EndpointDirectoryTest.cpp
@@ -1,4 +1,4 @@
-/// Which endpoints are used, as entries come, change, lapse and go.
+/// Which endpoints are used as entries are added, changed, expire and are removed.
 
 #include <gtest/gtest.h>
 
@@ -10,21 +10,21 @@
 
 EndpointEntry entry(const std::string &id, bool draining = false, uint64_t startedAt = 1)
 {
-    EndpointEntry made;
-    made.id = EndpointId(id);
-    made.service = ServiceId("s");
-    made.domain = DomainId("d");
-    made.address = "127.0.0.1:9";
-    made.slots = 4;
-    made.draining = draining;
-    made.startedAtMillis = startedAt;
-    return made;
+    EndpointEntry result;
+    result.id = EndpointId(id);
+    result.service = ServiceId("s");
+    result.domain = DomainId("d");
+    result.address = "127.0.0.1:9";
+    result.slots = 4;
+    result.draining = draining;
+    result.startedAtMillis = startedAt;
+    return result;
 }
 
-class Directory : public testing::Test
+class EndpointDirectoryTest : public testing::Test
 {
 protected:
-    Directory()
+    EndpointDirectoryTest()
         : file_(std::tmpfile()),
           log_({"test", HostId("h"), DomainId("d"), Incarnation("i")}, file_),
           directory_(DomainId("d"), {}, log_)
@@ -32,10 +32,10 @@
         directory_.setStoreReachable(true, now_);
         now_ += std::chrono::minutes(1);
     }
-    ~Directory() override { std::fclose(file_); }
+    ~EndpointDirectoryTest() override { std::fclose(file_); }
 
-    /// The endpoint that a request is sent to; empty if it is refused.
-    std::string placed(const std::vector<EndpointId> &tried = {})
+    /// The endpoint chosen for a request; empty if the request is refused.
+    std::string chosenEndpoint(const std::vector<EndpointId> &tried = {})
     {
         directory_.publish(now_);
         WorkItem item;
@@ -48,7 +48,7 @@
         return found == nullptr ? std::string() : found->endpoint.text();
     }
 
-    /// All lines that were logged.
+    /// All log lines so far.
     std::string logged()
     {
         std::string text;
@@ -65,80 +65,80 @@
     EndpointDirectory directory_;
 };
 
-TEST_F(Directory, LeavingEndpointGetsNothingNew)
+TEST_F(EndpointDirectoryTest, DrainingEndpointGetsNoNewRequests)
 {
     directory_.update(entry("a"), now_);
-    EXPECT_EQ(placed(), "a");
+    EXPECT_EQ(chosenEndpoint(), "a");
     directory_.update(entry("a", true), now_);
-    EXPECT_EQ(placed(), "");
+    EXPECT_EQ(chosenEndpoint(), "");
 }
 
-TEST_F(Directory, RemovedEndpointGetsNothingNew)
+TEST_F(EndpointDirectoryTest, RemovedEndpointGetsNoNewRequests)
 {
     directory_.update(entry("a"), now_);
-    directory_.remove(EndpointId("a"), Delisting::Removed, now_);
-    EXPECT_EQ(placed(), "");
+    directory_.remove(EndpointId("a"), RemovalReason::Removed, now_);
+    EXPECT_EQ(chosenEndpoint(), "");
 }
 
-// Every request is refused though all endpoints live: the store was away, their entries
-// lapsed meanwhile, and on its return they are listed as gone until they write again.
-TEST_F(Directory, EntryThatLapsedWithTheStoreAwayStaysInUseUntilItIsDueBack)
+// Guards against refusing all requests while all endpoints are running: their entries expired
+// during an outage of the store and are missing after it until they are written again.
+TEST_F(EndpointDirectoryTest, EntryExpiredInStoreOutageStaysInUseForGracePeriod)
 {
     directory_.update(entry("a"), now_);
     directory_.setStoreReachable(false, now_);
     now_ += std::chrono::seconds(5);
     directory_.setStoreReachable(true, now_);
     directory_.keepOnly({}, now_);
-    EXPECT_EQ(placed(), "a");
+    EXPECT_EQ(chosenEndpoint(), "a");
     now_ += std::chrono::seconds(1);
     directory_.update(entry("a"), now_);
     now_ += std::chrono::seconds(10);
     directory_.tick(now_);
-    EXPECT_EQ(placed(), "a");
+    EXPECT_EQ(chosenEndpoint(), "a");
 }
 
-// A leaving endpoint gets new work for good: it left while the store was away, and its
-// missing entry is taken for a lapsed one.
-TEST_F(Directory, EntryThatIsStillMissingAfterThatIsGone)
+// Guards against sending requests permanently to an endpoint that left during an outage of the
+// store, because its missing entry is mistaken for an expired one.
+TEST_F(EndpointDirectoryTest, EntryMissingAfterGracePeriodIsRemoved)
 {
     directory_.update(entry("a"), now_);
     directory_.setStoreReachable(false, now_);
     now_ += std::chrono::seconds(5);
     directory_.setStoreReachable(true, now_);
     directory_.keepOnly({}, now_);
-    now_ += EndpointDirectory::LapseGrace;
+    now_ += EndpointDirectory::ExpiredEntryGrace;
     directory_.tick(now_);
-    EXPECT_EQ(placed(), "");
+    EXPECT_EQ(chosenEndpoint(), "");
 }
 
-TEST_F(Directory, UnreachableOneIsLeftOutForAWhile)
+TEST_F(EndpointDirectoryTest, UnreachableEndpointIsExcludedForAWhile)
 {
     directory_.update(entry("a"), now_);
     directory_.update(entry("b"), now_);
     directory_.onStaleEndpoint(EndpointId("a"), now_);
     for (int i = 0; i < 20; ++i) {
-        EXPECT_EQ(placed(), "b");
+        EXPECT_EQ(chosenEndpoint(), "b");
     }
-    // Where nothing else is left it is tried all the same.
-    EXPECT_EQ(placed({EndpointId("b")}), "a");
+    // It is still chosen if there is no other endpoint.
+    EXPECT_EQ(chosenEndpoint({EndpointId("b")}), "a");
 }
 
-TEST_F(Directory, RestartedOneIsUsedAtOnce)
+TEST_F(EndpointDirectoryTest, RestartedEndpointIsUsedAtOnce)
 {
     directory_.update(entry("a"), now_);
     directory_.update(entry("b"), now_);
     directory_.onStaleEndpoint(EndpointId("a"), now_);
     directory_.update(entry("a", false, 2), now_);
-    EXPECT_EQ(placed({EndpointId("b")}), "a");
+    EXPECT_EQ(chosenEndpoint({EndpointId("b")}), "a");
 }
 
-// Callers of a configured route are told that it doesn't exist (404), and don't come back: the
-// last endpoint of its service left the list, and the next one has yet to enter it. That is
-// "not now, come back", as for endpoints that are listed and can't be used.
-TEST_F(Directory, ServiceWithoutListedEndpointsIsRefusedForNow)
+// Guards against responding with 404 on a configured route, after which callers don't retry: the
+// last endpoint of the service was removed and the next one isn't listed yet. The request is
+// refused with a retry time, as if the listed endpoints couldn't be used.
+TEST_F(EndpointDirectoryTest, ServiceWithoutEndpointsIsRefusedWithRetryTime)
 {
     directory_.update(entry("a"), now_);
-    directory_.remove(EndpointId("a"), Delisting::Removed, now_);
+    directory_.remove(EndpointId("a"), RemovalReason::Removed, now_);
     directory_.publish(now_);
     WorkItem item;
     item.request = RequestId("r");
@@ -152,17 +152,17 @@
     EXPECT_TRUE(verdict->retryAt);
 }
 
-TEST_F(Directory, EntryWhoseAddressCantBeReadNamesNoEndpoint)
+TEST_F(EndpointDirectoryTest, MalformedAddressRemovesEndpoint)
 {
     directory_.update(entry("a"), now_);
-    EXPECT_EQ(placed(), "a");
+    EXPECT_EQ(chosenEndpoint(), "a");
     EndpointEntry moved = entry("a");
     moved.address = "elsewhere";
     directory_.update(moved, now_);
-    EXPECT_EQ(placed(), "");
+    EXPECT_EQ(chosenEndpoint(), "");
 }
 
-TEST_F(Directory, LogsWhyTheLastEndpointOfAServiceIsGone)
+TEST_F(EndpointDirectoryTest, LogsReasonWhenServiceLosesItsLastEndpoint)
 {
     directory_.update(entry("a"), now_);
     directory_.publish(now_);
@@ -172,7 +172,7 @@
     EXPECT_NE(logged().find("\"event\":\"service.unserved\""), std::string::npos);
 }
 
-TEST(SharedPrompt, IsAllPartsButTheLast)
+TEST(SharedPromptHash, CoversAllPartsButTheLast)
 {
     const uint64_t both = sharedPromptHash({{1, 10}, {2, 10}, {3, 10}});
     EXPECT_EQ(both, sharedPromptHash({{1, 10}, {2, 10}, {9, 10}}));
--- a/unittests/Edge/LedgerRowsTest.cpp
+++ b/unittests/Edge/LedgerRowsTest.cpp
@@ -1,5 +1,5 @@
-/// The rows of the edge's own topic: what is written is read back, and what isn't a row of ours
-/// is told apart.
+/// Encoding and decoding of the rows in the edge's own topic, also those of earlier versions, and
+/// the detection of malformed rows.
 
 #include <gtest/gtest.h>
 
@@ -12,10 +12,10 @@
 using boost::asio::ip::make_address;
 using boost::asio::ip::udp;
 
-TEST(LedgerRows, AreReadAsTheyWereWritten)
+TEST(LedgerRows, RoundTrip)
 {
     const StoreRow budget = encodeBudget({WorkspaceId("a/b"), Incarnation("i"), {700, 300, 40}});
-    EXPECT_EQ(ledgerRowOf(budget.key), LedgerRow::Budget);
+    EXPECT_EQ(ledgerRowKind(budget.key), LedgerRowKind::Budget);
     const std::optional<AllotmentRow> row = decodeBudget(budget);
     ASSERT_TRUE(row);
     EXPECT_EQ(row->workspace, WorkspaceId("a/b"));
@@ -25,8 +25,8 @@
     const PeerClock peerClock{udp::endpoint(make_address("10.0.0.9"), 7200), Incarnation("j"),
                               Millis(5)};
     const StoreRow batch = encodeBatch({Incarnation("i"), Millis(1234), {peerClock}});
-    EXPECT_EQ(ledgerRowOf(batch.key), LedgerRow::Batch);
-    const std::optional<BatchMoment> moment = decodeBatch(batch);
+    EXPECT_EQ(ledgerRowKind(batch.key), LedgerRowKind::Batch);
+    const std::optional<BatchHeader> moment = decodeBatch(batch);
     ASSERT_TRUE(moment);
     EXPECT_EQ(moment->holder, Incarnation("i"));
     EXPECT_EQ(moment->sinceBoot, Millis(1234));
@@ -39,24 +39,24 @@
                     udp::endpoint(make_address("10.0.0.1"), 7200),
                     udp::endpoint(make_address("10.0.0.2"), 7201)};
     const StoreRow host = encodeHost(peer);
-    EXPECT_EQ(ledgerRowOf(host.key), LedgerRow::Host);
+    EXPECT_EQ(ledgerRowKind(host.key), LedgerRowKind::Host);
     const Peer read = decodeHost(host);
     EXPECT_EQ(read.host, peer.host);
     EXPECT_EQ(read.address, peer.address);
-    EXPECT_EQ(read.listens, peer.listens);
-    EXPECT_EQ(hostOf(encodeFarewell(peer.host)), peer.host);
+    EXPECT_EQ(read.listenAddress, peer.listenAddress);
+    EXPECT_EQ(hostOf(encodeHostRemoval(peer.host)), peer.host);
 }
 
-TEST(LedgerRows, OfAnEarlierBuildNameOneAddressForBoth)
+TEST(LedgerRows, DecodesHostOfEarlierVersionWithOneAddress)
 {
     const Peer peer = decodeHost(
             {"host/h", R"({"address": "10.0.0.1:7200", "domain": "d", "incarnation": "i"})", 0});
-    EXPECT_EQ(peer.listens, peer.address);
+    EXPECT_EQ(peer.listenAddress, peer.address);
 }
 
-TEST(LedgerRows, OfAnEarlierBuildNameItsBootAndTimesOfDay)
+TEST(LedgerRows, DecodesBatchOfEarlierVersion)
 {
-    const std::optional<BatchMoment> moment =
+    const std::optional<BatchHeader> moment =
             decodeBatch({"batch/i", "1234 1700000000000 a-boot|5 4321 j 10.0.0.9:7200", 0});
     ASSERT_TRUE(moment);
     EXPECT_EQ(moment->sinceBoot, Millis(1234));
@@ -74,42 +74,42 @@
                                         "12 9f3a",
                                         "12x 34 boot"};
 
-TEST(LedgerRows, MalformedBatchesTellNothing)
+TEST(LedgerRows, RejectsMalformedBatches)
 {
     for (const char *value : MalformedBatches) {
         EXPECT_FALSE(decodeBatch({"batch/i", value, 0})) << value;
     }
 }
 
-// A workspace's budget is spent twice: a process of an earlier build wrote what it had without a
-// pace, and a later build that can't read the row counts nothing as used. All of it counts as
-// used, since that build's holder kept to another bound than a pace.
-TEST(LedgerRows, WithoutAPaceCountAsUsedWhole)
+// Guards against spending a workspace's budget twice. An earlier version wrote its tokens without a
+// rate, and a later one that can't read the row would count none of them as used. All of them count
+// as used, since the earlier version limited its use in another way than by a rate.
+TEST(LedgerRows, BudgetWithoutRateCountsAsFullyUsed)
 {
     const std::optional<AllotmentRow> row = decodeBudget({"budget/i/w", "700 300", 0});
     ASSERT_TRUE(row);
     EXPECT_EQ(row->allotment, (Allotment{700, 700, 0}));
 }
 
-struct Malformed
+struct MalformedRow
 {
     const char *name;
     const char *key;
     const char *value;
 };
 
-const Malformed MalformedBudgets[] = {{"WithoutWorkspace", "budget/i", "7 3 1"},
-                                      {"OneNumber", "budget/i/w", "7"},
-                                      {"NoNumber", "budget/i/w", "x 3 1"},
-                                      {"Negative", "budget/i/w", "-7 3 1"},
-                                      {"TooLarge", "budget/i/w", "99999999999999999999 3 1"},
-                                      {"More", "budget/i/w", "7 3 1 1"},
-                                      {"Empty", "budget/i/w", ""}};
+const MalformedRow MalformedBudgets[] = {{"WithoutWorkspace", "budget/i", "7 3 1"},
+                                         {"OneNumber", "budget/i/w", "7"},
+                                         {"NoNumber", "budget/i/w", "x 3 1"},
+                                         {"Negative", "budget/i/w", "-7 3 1"},
+                                         {"TooLarge", "budget/i/w", "99999999999999999999 3 1"},
+                                         {"ExtraNumber", "budget/i/w", "7 3 1 1"},
+                                         {"Empty", "budget/i/w", ""}};
 
-class MalformedBudget : public testing::TestWithParam<Malformed>
+class MalformedBudget : public testing::TestWithParam<MalformedRow>
 {};
 
-TEST_P(MalformedBudget, IsNoRow)
+TEST_P(MalformedBudget, IsRejected)
 {
     EXPECT_FALSE(decodeBudget({GetParam().key, GetParam().value, 0}));
 }
@@ -117,16 +117,16 @@
 INSTANTIATE_TEST_SUITE_P(Rows, MalformedBudget, testing::ValuesIn(MalformedBudgets),
                          [](const auto &row) { return std::string(row.param.name); });
 
-const Malformed MalformedHosts[] = {
+const MalformedRow MalformedHosts[] = {
         {"NotJson", "host/h", "{broken"},
         {"NoAddress", "host/h", R"({"domain": "d", "incarnation": "i"})"},
         {"BadAddress", "host/h", R"({"address": "x", "domain": "d", "incarnation": "i"})"},
         {"NoDomain", "host/h", R"({"address": "10.0.0.1:7200", "incarnation": "i"})"}};
 
-class MalformedHost : public testing::TestWithParam<Malformed>
+class MalformedHost : public testing::TestWithParam<MalformedRow>
 {};
 
-TEST_P(MalformedHost, IsRefusedWithAReason)
+TEST_P(MalformedHost, Throws)
 {
     EXPECT_THROW(decodeHost({GetParam().key, GetParam().value, 0}), std::exception);
 }
--- a/unittests/Edge/PeerClocksTest.cpp
+++ b/unittests/Edge/PeerClocksTest.cpp
@@ -38,31 +38,31 @@
 struct AgeCase
 {
     const char *name;
-    Interval answerAge;
+    Interval responseAge;
     Millis expectedClock;
 };
 
-class PeerClocksAnswerAge : public testing::TestWithParam<AgeCase>
+class PeerClocksResponseAge : public testing::TestWithParam<AgeCase>
 {};
 
-// Guards against naming clocks from old batches when newer answers are available: the bound on the
-// end of a killed process would grow by seconds, and its unused tokens would count as spent.
-TEST_P(PeerClocksAnswerAge, PrefersUnexpiredAnswers)
+// Guards against naming clocks from old batches when newer responses are available: the bound on
+// the end of a killed process would grow by seconds, and its unused tokens would count as spent.
+TEST_P(PeerClocksResponseAge, PrefersUnexpiredResponses)
 {
     PeerClocks clocks{HostId("self")};
     clocks.setPeers(peersIn(1, 1));
     clocks.onBatch(processOf(0), batchOf(0, Millis(1000)), Now);
-    clocks.onAnswer({{}, processOf(0), Millis(2000), Millis(0)}, Now - GetParam().answerAge);
+    clocks.onResponse({{}, processOf(0), Millis(2000), Millis(0)}, Now - GetParam().responseAge);
     const std::vector<PeerClock> named = clocks.newestClocks(Now);
     ASSERT_EQ(named.size(), 1U);
     EXPECT_EQ(named[0].sinceBoot, GetParam().expectedClock);
 }
 
-const AgeCase AgeCases[] = {{"NewAnswer", std::chrono::milliseconds(0), Millis(2000)},
-                            {"UnexpiredAnswer", std::chrono::milliseconds(300), Millis(2000)},
-                            {"ExpiredAnswer", std::chrono::seconds(2), Millis(1000)}};
+const AgeCase AgeCases[] = {{"NewResponse", std::chrono::milliseconds(0), Millis(2000)},
+                            {"UnexpiredResponse", std::chrono::milliseconds(300), Millis(2000)},
+                            {"ExpiredResponse", std::chrono::seconds(2), Millis(1000)}};
 
-INSTANTIATE_TEST_SUITE_P(Rows, PeerClocksAnswerAge, testing::ValuesIn(AgeCases),
+INSTANTIATE_TEST_SUITE_P(Rows, PeerClocksResponseAge, testing::ValuesIn(AgeCases),
                          [](const auto &row) { return std::string(row.param.name); });
 
 struct FleetCase
@@ -70,24 +70,24 @@
     const char *name;
     int hosts;
     int domains;
-    std::size_t expectedAsked;
+    std::size_t expectedQueried;
     std::size_t expectedNamed;
 };
 
 class PeerClocksSelection : public testing::TestWithParam<FleetCase>
 {};
 
-// Guards against relying on a single failure domain, whose failure would leave no peer to ask for
-// the end of a process.
+// Guards against relying on a single failure domain, whose failure would leave no peer to
+// query about the end of a process.
 TEST_P(PeerClocksSelection, LimitsPeersPerFailureDomain)
 {
     const std::vector<Peer> peers = peersIn(GetParam().hosts, GetParam().domains);
     PeerClocks clocks{HostId("self")};
     clocks.setPeers(peers);
-    EXPECT_EQ(clocks.asks(Now).size(), GetParam().expectedAsked);
-    EXPECT_TRUE(clocks.asks(Now).empty());
+    EXPECT_EQ(clocks.peersToQuery(Now).size(), GetParam().expectedQueried);
+    EXPECT_TRUE(clocks.peersToQuery(Now).empty());
     for (int i = 0; i < GetParam().hosts; ++i) {
-        clocks.onAnswer({{}, processOf(i), Millis(2000), Millis(0)}, Now);
+        clocks.onResponse({{}, processOf(i), Millis(2000), Millis(0)}, Now);
     }
     const std::vector<PeerClock> named = clocks.newestClocks(Now);
     EXPECT_EQ(named.size(), GetParam().expectedNamed);
--- a/unittests/Edge/PeerLinkTest.cpp
+++ b/unittests/Edge/PeerLinkTest.cpp
@@ -1,4 +1,4 @@
-/// What peers tell each other by datagrams, on loopback.
+/// The datagrams that peers exchange, tested over loopback.
 
 #include <cstdio>
 
@@ -17,187 +17,186 @@
 
 const udp::endpoint AnyPort(boost::asio::ip::address_v4::loopback(), 0);
 
-class Link : public testing::Test
+class PeerLinkTest : public testing::Test
 {
 protected:
-    Link()
+    PeerLinkTest()
         : file_(std::tmpfile()),
           log_({"test", HostId("h"), DomainId("d"), Incarnation("self")}, file_),
-          far_(io_, AnyPort), link_(io_, AnyPort, Incarnation("self"), DomainId("d"), log_,
-                                    {[](const TokenRequest &) { return uint64_t{0}; },
-                                     [](const WorkspaceId &) {
-                                         return HeldTokens{5, 7, false};
-                                     },
-                                     [](const WorkspaceId &, uint64_t) {},
-                                     [this](const ClockAnswer &answer) {
-                                         answers_.push_back(answer);
-                                     }})
+          peerSocket_(io_, AnyPort), link_(io_, AnyPort, Incarnation("self"), DomainId("d"), log_,
+                                           {[](const TokenRequest &) { return uint64_t{0}; },
+                                            [](const WorkspaceId &) {
+                                                return HeldTokens{5, 7, false};
+                                            },
+                                            [](const WorkspaceId &, uint64_t) {},
+                                            [this](const ClockResponse &response) {
+                                                responses_.push_back(response);
+                                            }})
     {}
-    ~Link() override { std::fclose(file_); }
+    ~PeerLinkTest() override { std::fclose(file_); }
 
-    /// Waits for the link's question, and \returns it.
-    nlohmann::json question()
+    /// Waits for a datagram from the link and \returns it.
+    nlohmann::json nextDatagram()
     {
         std::array<char, 2048> buffer{};
-        const std::size_t bytes = far_.receive_from(boost::asio::buffer(buffer), asker_);
+        const std::size_t bytes =
+                peerSocket_.receive_from(boost::asio::buffer(buffer), linkAddress_);
         return nlohmann::json::parse(std::string_view(buffer.data(), bytes));
     }
 
-    /// Sends \p message to the link, and lets it read it.
-    void tell(const nlohmann::json &message)
+    /// Sends \p message to the link and runs its receive handler.
+    void deliver(const nlohmann::json &message)
     {
-        far_.send_to(boost::asio::buffer(message.dump()), asker_);
+        peerSocket_.send_to(boost::asio::buffer(message.dump()), linkAddress_);
         io_.restart();
         io_.run_one();
     }
 
-    static nlohmann::json answerTo(const nlohmann::json &question)
+    static nlohmann::json clockResponseTo(const nlohmann::json &nextDatagram)
     {
         return {{"kind", "clocks"},
                 {"from", "peer"},
-                {"to", question.at("from")},
-                {"about", question.at("about")},
+                {"to", nextDatagram.at("from")},
+                {"about", nextDatagram.at("about")},
                 {"boot", "b"},
                 {"since_boot_ms", 700},
                 {"time_ms", 90'000},
-                {"asked_ms", question.at("asked_ms")}};
+                {"asked_ms", nextDatagram.at("asked_ms")}};
     }
 
     boost::asio::io_context io_;
     std::FILE *file_;
     EventLog log_;
-    udp::socket far_; ///< a peer
+    udp::socket peerSocket_; ///< of the simulated peer
     PeerLink link_;
-    udp::endpoint asker_;
-    std::vector<ClockAnswer> answers_;
+    udp::endpoint linkAddress_;
+    std::vector<ClockResponse> responses_;
 };
 
-TEST_F(Link, HandsOverWhatAPeersClocksSay)
+TEST_F(PeerLinkTest, PassesOnClockResponses)
 {
-    link_.askClock(far_.local_endpoint(), Millis(40));
-    tell(answerTo(question()));
-    ASSERT_EQ(answers_.size(), 1U);
-    EXPECT_EQ(answers_[0].address, far_.local_endpoint());
-    EXPECT_EQ(answers_[0].process, Incarnation("peer"));
-    EXPECT_EQ(answers_[0].sinceBoot, Millis(700));
-    EXPECT_EQ(answers_[0].askedAfterStart, Millis(40));
+    link_.requestClock(peerSocket_.local_endpoint(), Millis(40));
+    deliver(clockResponseTo(nextDatagram()));
+    ASSERT_EQ(responses_.size(), 1U);
+    EXPECT_EQ(responses_[0].address, peerSocket_.local_endpoint());
+    EXPECT_EQ(responses_[0].process, Incarnation("peer"));
+    EXPECT_EQ(responses_[0].sinceBoot, Millis(700));
+    EXPECT_EQ(responses_[0].requestedAfterStart, Millis(40));
 }
 
-// A budget is overspent: a process asked a peer for its clocks and was killed; the answer came
-// late, to the next process on the address. It was read before that one started, so that the
-// time since the last batch seemed shorter, and tokens were given back that had been used.
-TEST_F(Link, AnswerToTheProcessBeforeIsntTakenForOnes)
+// Guards against overspending a budget. A process requested a peer's clock and was killed, and the
+// response arrived at the next process on the address. The clock had been read before that process
+// started, so the time since the last batch was underestimated and used tokens were returned.
+TEST_F(PeerLinkTest, IgnoresResponseToPreviousProcess)
 {
-    link_.askClock(far_.local_endpoint(), Millis(40));
-    nlohmann::json late = answerTo(question());
+    link_.requestClock(peerSocket_.local_endpoint(), Millis(40));
+    nlohmann::json late = clockResponseTo(nextDatagram());
     late["to"] = "the process before";
-    tell(late);
-    EXPECT_TRUE(answers_.empty());
+    deliver(late);
+    EXPECT_TRUE(responses_.empty());
 }
 
-TEST_F(Link, TellsItsOwnClocks)
+TEST_F(PeerLinkTest, RespondsToClockRequests)
 {
-    link_.askClock(far_.local_endpoint(), Millis(40));
-    nlohmann::json ask = question();
+    link_.requestClock(peerSocket_.local_endpoint(), Millis(40));
+    nlohmann::json ask = nextDatagram();
     ask["from"] = "peer";
-    tell(ask);
-    const nlohmann::json told = question();
-    EXPECT_EQ(told.at("kind"), "clocks");
-    EXPECT_EQ(told.at("to"), "peer");
-    EXPECT_EQ(told.at("from"), "self");
-    EXPECT_EQ(told.at("about"), ask.at("about"));
-    EXPECT_GT(told.at("since_boot_ms").get<int64_t>(), 0);
+    deliver(ask);
+    const nlohmann::json report = nextDatagram();
+    EXPECT_EQ(report.at("kind"), "clocks");
+    EXPECT_EQ(report.at("to"), "peer");
+    EXPECT_EQ(report.at("from"), "self");
+    EXPECT_EQ(report.at("about"), ask.at("about"));
+    EXPECT_GT(report.at("since_boot_ms").get<int64_t>(), 0);
 }
 
-struct ElsewhereCase
+struct HeldByPeersCase
 {
     const char *name;
-    nlohmann::json told; ///< beside a move of nothing
+    nlohmann::json report; ///< fields of a transfer of 0 tokens
     std::optional<uint64_t> tokens;
 };
 
-class LinkHeldElsewhere : public Link, public testing::WithParamInterface<ElsewhereCase>
+class PeerLinkHeldByPeers : public PeerLinkTest, public testing::WithParamInterface<HeldByPeersCase>
 {};
 
-const ElsewhereCase ElsewhereCases[] = {
-        {"OfAnEarlierBuild", {{"usable", 5}}, 5},
-        {"OpenRequestsMayEndWithLess", {{"usable", 5}, {"reserved", 7}, {"settling", false}}, 12},
-        {"ItsPredecessorsTokensMayComeBack",
-         {{"usable", 5}, {"reserved", 7}, {"settling", true}},
-         std::nullopt},
+const HeldByPeersCase HeldByPeersCases[] = {
+        {"EarlierVersion", {{"usable", 5}}, 5},
+        {"ReservedTokens", {{"usable", 5}, {"reserved", 7}, {"settling", false}}, 12},
+        {"PredecessorPending", {{"usable", 5}, {"reserved", 7}, {"settling", true}}, std::nullopt},
 };
 
-// A caller is told that its budget is spent while tokens of it are on their way back.
-TEST_P(LinkHeldElsewhere, CountsWhatMayComeBack)
+// Guards against reporting a budget as spent while tokens of it may still be returned.
+TEST_P(PeerLinkHeldByPeers, IncludesTokensThatMayBeReturned)
 {
-    link_.setPeers({{HostId("p"), DomainId("d"), Incarnation("peer"), far_.local_endpoint(),
-                     far_.local_endpoint()}});
-    link_.askClock(far_.local_endpoint(), Millis(0));
-    question();
+    link_.setPeers({{HostId("p"), DomainId("d"), Incarnation("peer"), peerSocket_.local_endpoint(),
+                     peerSocket_.local_endpoint()}});
+    link_.requestClock(peerSocket_.local_endpoint(), Millis(0));
+    nextDatagram();
     nlohmann::json move = {{"kind", "move"}, {"from", "peer"},   {"to", "self"},
                            {"id", 0},        {"workspace", "w"}, {"tokens", 0}};
-    move.update(GetParam().told);
-    tell(move);
-    EXPECT_EQ(link_.heldElsewhere(WorkspaceId("w"), Instant()), GetParam().tokens);
+    move.update(GetParam().report);
+    deliver(move);
+    EXPECT_EQ(link_.heldByPeers(WorkspaceId("w"), Instant()), GetParam().tokens);
 }
 
-INSTANTIATE_TEST_SUITE_P(Rows, LinkHeldElsewhere, testing::ValuesIn(ElsewhereCases),
+INSTANTIATE_TEST_SUITE_P(Rows, PeerLinkHeldByPeers, testing::ValuesIn(HeldByPeersCases),
                          [](const auto &row) { return std::string(row.param.name); });
 
 struct HomeCase
 {
     const char *name;
-    const char *answeredBy; ///< incarnation that the answer comes from
+    const char *respondedBy; ///< incarnation that the response comes from
     bool isHome;
 };
 
-class LinkHome : public Link, public testing::WithParamInterface<HomeCase>
+class PeerLinkHome : public PeerLinkTest, public testing::WithParamInterface<HomeCase>
 {};
 
 const HomeCase HomeCases[] = {{"ListedProcess", "peer", true},
                               {"PreviousProcessOfTheHost", "previous", false}};
 
-// Guards against moving tokens to a process that has ended, where they would be lost.
-TEST_P(LinkHome, GetsTokensOnlyAfterItAnswered)
+// Guards against transferring tokens to a process that has ended, where they would be lost.
+TEST_P(PeerLinkHome, ReceivesTokensOnlyAfterItResponded)
 {
     const WorkspaceId workspace("w");
     link_.setHomes(workspace, {{HostId("p"), DomainId("d"), Incarnation("peer"),
-                                far_.local_endpoint(), far_.local_endpoint()}});
+                                peerSocket_.local_endpoint(), peerSocket_.local_endpoint()}});
     const Instant now = std::chrono::steady_clock::now();
-    EXPECT_FALSE(link_.homeAnsweredRecently(workspace, now));
-    link_.askClock(far_.local_endpoint(), Millis(0));
-    question();
-    tell({{"kind", "move"},
-          {"from", GetParam().answeredBy},
-          {"to", "self"},
-          {"id", 0},
-          {"workspace", "w"},
-          {"tokens", 0},
-          {"usable", 0}});
-    ASSERT_EQ(link_.homeAnsweredRecently(workspace, now), GetParam().isHome);
+    EXPECT_FALSE(link_.homeRespondedRecently(workspace, now));
+    link_.requestClock(peerSocket_.local_endpoint(), Millis(0));
+    nextDatagram();
+    deliver({{"kind", "move"},
+             {"from", GetParam().respondedBy},
+             {"to", "self"},
+             {"id", 0},
+             {"workspace", "w"},
+             {"tokens", 0},
+             {"usable", 0}});
+    ASSERT_EQ(link_.homeRespondedRecently(workspace, now), GetParam().isHome);
     if (GetParam().isHome) {
-        link_.moveToHome(workspace, 30, now);
-        const nlohmann::json move = question();
+        link_.transferToHome(workspace, 30, now);
+        const nlohmann::json move = nextDatagram();
         EXPECT_EQ(move.at("to"), "peer");
         EXPECT_EQ(move.at("tokens"), 30);
     }
-    EXPECT_FALSE(link_.homeAnsweredRecently(workspace, now + std::chrono::minutes(1)));
+    EXPECT_FALSE(link_.homeRespondedRecently(workspace, now + std::chrono::minutes(1)));
 }
 
-INSTANTIATE_TEST_SUITE_P(Rows, LinkHome, testing::ValuesIn(HomeCases),
+INSTANTIATE_TEST_SUITE_P(Rows, PeerLinkHome, testing::ValuesIn(HomeCases),
                          [](const auto &row) { return std::string(row.param.name); });
 
-TEST_F(Link, TellsWhatItHoldsAndWhatMayComeBack)
+TEST_F(PeerLinkTest, ReportsUsableAndReservedTokens)
 {
-    link_.askClock(far_.local_endpoint(), Millis(0));
-    question();
-    tell({{"kind", "ask"},
-          {"from", "peer"},
-          {"workspace", "w"},
-          {"need", 9},
-          {"usable", 0},
-          {"per_second", 0}});
-    const nlohmann::json move = question();
+    link_.requestClock(peerSocket_.local_endpoint(), Millis(0));
+    nextDatagram();
+    deliver({{"kind", "ask"},
+             {"from", "peer"},
+             {"workspace", "w"},
+             {"need", 9},
+             {"usable", 0},
+             {"per_second", 0}});
+    const nlohmann::json move = nextDatagram();
     EXPECT_EQ(move.at("usable"), 5);
     EXPECT_EQ(move.at("reserved"), 7);
     EXPECT_EQ(move.at("settling"), false);
--- a/unittests/Edge/PredecessorTest.cpp
+++ b/unittests/Edge/PredecessorTest.cpp
@@ -1,4 +1,4 @@
-/// Whom a process asks how long ago the one before it on its host wrote its last batch.
+/// Which peers a process queries about its host's previous process, and when it stops waiting.
 
 #include <gtest/gtest.h>
 
@@ -13,67 +13,67 @@
 
 const udp::endpoint A(make_address("10.0.0.1"), 7200);
 const udp::endpoint B(make_address("10.0.0.2"), 7200);
-const udp::endpoint Gone(make_address("10.0.0.3"), 7200);
+const udp::endpoint Unlisted(make_address("10.0.0.3"), 7200);
 
-BatchMoment lastBatch()
+BatchHeader lastBatch()
 {
-    BatchMoment batch;
+    BatchHeader batch;
     batch.holder = Incarnation("dead");
     batch.sinceBoot = Millis(1000);
     batch.peers = {{A, Incarnation("a1"), Millis(700)},
                    {B, Incarnation("b1"), Millis(900)},
-                   {Gone, Incarnation("g1"), Millis(1)}};
+                   {Unlisted, Incarnation("g1"), Millis(1)}};
     return batch;
 }
 
-class Asking : public testing::Test
+class PredecessorTest : public testing::Test
 {
 protected:
-    Asking() : predecessor_(lastBatch(), {A, B}, now_) {}
+    PredecessorTest() : predecessor_(lastBatch(), {A, B}, now_) {}
 
-    void answer(const udp::endpoint &address, const char *process, Millis sinceBoot)
+    void respond(const udp::endpoint &address, const char *process, Millis sinceBoot)
     {
-        predecessor_.onAnswer({address, Incarnation(process), sinceBoot, Millis(100)});
+        predecessor_.onResponse({address, Incarnation(process), sinceBoot, Millis(100)});
     }
 
     Instant now_{std::chrono::hours(1)};
     Predecessor predecessor_;
 };
 
-TEST_F(Asking, GoesToListedAddressesUntilTheyAnswer)
+TEST_F(PredecessorTest, QueriesListedAddressesUntilTheyRespond)
 {
-    EXPECT_EQ(predecessor_.asks(now_), (std::vector<udp::endpoint>{A, B}));
-    EXPECT_TRUE(predecessor_.asks(now_).empty());
-    answer(A, "a1", Millis(2000));
+    EXPECT_EQ(predecessor_.addressesToQuery(now_), (std::vector<udp::endpoint>{A, B}));
+    EXPECT_TRUE(predecessor_.addressesToQuery(now_).empty());
+    respond(A, "a1", Millis(2000));
     now_ += std::chrono::seconds(1);
-    EXPECT_EQ(predecessor_.asks(now_), (std::vector<udp::endpoint>{B}));
+    EXPECT_EQ(predecessor_.addressesToQuery(now_), (std::vector<udp::endpoint>{B}));
 }
 
-TEST_F(Asking, IsDecidedWhenAllAnswered)
+TEST_F(PredecessorTest, IsCompleteWhenAllResponded)
 {
-    EXPECT_FALSE(predecessor_.decided(now_));
-    answer(A, "a1", Millis(2000));
-    EXPECT_FALSE(predecessor_.decided(now_));
-    answer(B, "b2", Millis(3));
-    EXPECT_TRUE(predecessor_.decided(now_));
-    EXPECT_EQ(predecessor_.bound(), Millis(1200));
+    EXPECT_FALSE(predecessor_.isComplete(now_));
+    respond(A, "a1", Millis(2000));
+    EXPECT_FALSE(predecessor_.isComplete(now_));
+    respond(B, "b2", Millis(3));
+    EXPECT_TRUE(predecessor_.isComplete(now_));
+    EXPECT_EQ(predecessor_.elapsedUpperBound(), Millis(1200));
 }
 
-TEST_F(Asking, DoesWithThoseThatAnsweredInTime)
+TEST_F(PredecessorTest, IsCompleteWithSomeResponsesAfterTimeout)
 {
-    answer(A, "a1", Millis(2000));
+    respond(A, "a1", Millis(2000));
     now_ += std::chrono::seconds(1);
-    EXPECT_TRUE(predecessor_.decided(now_));
+    EXPECT_TRUE(predecessor_.isComplete(now_));
 }
 
-TEST_F(Asking, WaitsForMoreWhileThereIsNoBound)
+TEST_F(PredecessorTest, WaitsLongerWithoutBound)
 {
-    answer(A, "a2", Millis(3));
+    respond(A, "a2", Millis(3));
     now_ += std::chrono::seconds(1);
-    EXPECT_FALSE(predecessor_.decided(now_));
+    EXPECT_FALSE(predecessor_.isComplete(now_));
     now_ += std::chrono::seconds(10);
-    EXPECT_TRUE(predecessor_.decided(now_));
-    EXPECT_FALSE(predecessor_.bound());
+    EXPECT_TRUE(predecessor_.isComplete(now_));
+    EXPECT_FALSE(predecessor_.elapsedUpperBound());
 }
 
 } // namespace
--- a/unittests/Edge/StatusServerTest.cpp
+++ b/unittests/Edge/StatusServerTest.cpp
@@ -16,11 +16,11 @@
 
 using boost::asio::ip::tcp;
 
-/// No descriptor can be had while it lives.
-class NoDescriptors
+/// Prevents the process from opening file descriptors while it exists.
+class DescriptorExhaustion
 {
 public:
-    NoDescriptors()
+    DescriptorExhaustion()
     {
         getrlimit(RLIMIT_NOFILE, &before_);
         const int lowestFree = ::dup(STDIN_FILENO);
@@ -29,15 +29,15 @@
         none.rlim_cur = static_cast<rlim_t>(lowestFree);
         setrlimit(RLIMIT_NOFILE, &none);
     }
-    ~NoDescriptors() { setrlimit(RLIMIT_NOFILE, &before_); }
-    NoDescriptors(const NoDescriptors &) = delete;
-    NoDescriptors &operator=(const NoDescriptors &) = delete;
+    ~DescriptorExhaustion() { setrlimit(RLIMIT_NOFILE, &before_); }
+    DescriptorExhaustion(const DescriptorExhaustion &) = delete;
+    DescriptorExhaustion &operator=(const DescriptorExhaustion &) = delete;
 
 private:
     rlimit before_{};
 };
 
-/// A loopback address of this test process alone.
+/// A loopback address that no other test process uses.
 tcp::endpoint ownEndpoint()
 {
     const int id = static_cast<int>(::getpid());
@@ -45,10 +45,11 @@
     return {boost::asio::ip::make_address(ip), 8750};
 }
 
-// Out of descriptors, accepts that fail one after the other take the whole event loop.
-TEST(StatusServer, WaitsForDescriptorsAndThenAnswers)
+// Guards against an event loop that is busy with failing accepts while the process is out of file
+// descriptors.
+TEST(StatusServer, RetriesAcceptsAfterDescriptorExhaustion)
 {
-    constexpr int Many = 1000;
+    constexpr int MaxHandlers = 1000;
     boost::asio::io_context io;
     const tcp::endpoint listen = ownEndpoint();
     StatusServer server(io, listen, [] { return StatusPage{200, "text/plain", "ready\n"}; });
@@ -56,23 +57,23 @@
     client.connect(listen);
     int handlers = 0;
     {
-        const NoDescriptors none;
-        while (handlers < Many && io.poll_one() > 0) {
+        const DescriptorExhaustion exhaustion;
+        while (handlers < MaxHandlers && io.poll_one() > 0) {
             ++handlers;
         }
     }
     EXPECT_GE(handlers, 1);
-    EXPECT_LT(handlers, Many);
+    EXPECT_LT(handlers, MaxHandlers);
     boost::asio::write(client,
                        boost::asio::buffer(std::string("GET / HTTP/1.1\r\nHost: h\r\n\r\n")));
-    std::array<char, 12> answer{};
-    bool answered = false;
+    std::array<char, 12> response{};
+    bool responded = false;
     boost::asio::async_read(
-            client, boost::asio::buffer(answer),
-            [&](const boost::system::error_code &error, std::size_t) { answered = !error; });
-    while (!answered && io.run_one() > 0) {
+            client, boost::asio::buffer(response),
+            [&](const boost::system::error_code &error, std::size_t) { responded = !error; });
+    while (!responded && io.run_one() > 0) {
     }
-    EXPECT_EQ(std::string(answer.data(), answer.size()), "HTTP/1.1 200");
+    EXPECT_EQ(std::string(response.data(), response.size()), "HTTP/1.1 200");
 }
 
 } // namespace
