--- a/include/sequoiagate/Edge/EdgeSettings.h
+++ b/include/sequoiagate/Edge/EdgeSettings.h
@@ -24,10 +24,9 @@
     std::string advertisePeers; ///< the address that peers send to; listenPeers if empty
     std::string listenMetrics;  ///< not served if empty
     std::string store;
-    Interval stopGrace{};  ///< from the stop signal to the forced exit
-    Interval readyGrace{}; ///< new callers are accepted this long after the stop signal
-    uint64_t linkBytesPerSecond =
-            0; ///< capacity of the host's link in each direction; 0 if unknown
+    Interval stopGrace{};            ///< from the stop signal to the forced exit
+    Interval readyGrace{};           ///< new callers are accepted this long after the stop signal
+    uint64_t linkBytesPerSecond = 0; ///< link capacity in each direction; 0 if unknown
     DistributedRetryBudgetSettings retries;
     TokenHolderSettings tokens;
 };
--- a/include/sequoiagate/Edge/TokenService.h
+++ b/include/sequoiagate/Edge/TokenService.h
@@ -77,7 +77,7 @@
 
     /// A recent reservation that failed for lack of tokens. Requests for at least as many are
     /// refused without waiting.
-    struct Shortage
+    struct Shortfall
     {
         uint64_t tokens = 0;
         Instant until{};
@@ -109,7 +109,7 @@
     void requestFromPeers(Instant now);
     void returnUnusedTokens(Instant now);
     HeldTokens heldTokens(const WorkspaceId &workspace) const;
-    Verdict shortageVerdict(const WaitingRequest &waiting, Instant now) const;
+    Verdict shortfallVerdict(const WaitingRequest &waiting, Instant now) const;
     void finishStop(Instant now);
     void logTokenStates();
 
@@ -129,7 +129,7 @@
     std::vector<AllotmentRow> seals_;          ///< to be written with the next batch
     Instant startedAt_;
     std::list<WaitingRequest> waitingRequests_;
-    std::unordered_map<WorkspaceId, Shortage> shortages_;
+    std::unordered_map<WorkspaceId, Shortfall> shortfalls_;
     TokenRequestId lastRequestId_ = 0;
 
     std::optional<StoreBatch> batch_; ///< the batch being written
--- a/lib/Edge/Edge.cpp
+++ b/lib/Edge/Edge.cpp
@@ -230,9 +230,7 @@
     } catch (const std::exception &error) {
         // All hosts read this row; if it ended this process, it would end all of them.
         newestConfigRead_ = false;
-        log_.write(Event("config.malformed")
-                           .with("offset", row.offset)
-                           .with("why", error.what()));
+        log_.write(Event("config.malformed").with("offset", row.offset).with("why", error.what()));
         return;
     }
     tokens_->setBudgets(budgetsOf(*config_), std::chrono::steady_clock::now());
@@ -258,9 +256,7 @@
             endpoints_.update(adapter_.decodeEndpoint(row.key, row.value), now);
         } catch (const std::exception &error) {
             // The endpoint can't be used any more, even if an earlier entry was valid.
-            log_.write(Event("endpoint.malformed")
-                               .with("endpoint", id)
-                               .with("why", error.what()));
+            log_.write(Event("endpoint.malformed").with("endpoint", id).with("why", error.what()));
             endpoints_.remove(id, RemovalReason::Malformed, now);
         }
     }
--- a/lib/Edge/PeerLink.cpp
+++ b/lib/Edge/PeerLink.cpp
@@ -266,28 +266,28 @@
 
 void PeerLink::tick(Instant now)
 {
-    for (auto move = unacknowledged_.begin(); move != unacknowledged_.end();) {
-        if (now >= move->second.giveUpAt) {
+    for (auto transfer = unacknowledged_.begin(); transfer != unacknowledged_.end();) {
+        if (now >= transfer->second.giveUpAt) {
             log_.write(Event("tokens.lost")
-                               .with("workspace", move->second.workspace)
-                               .with("tokens", move->second.tokens)
-                               .with("id", move->first));
-            move = unacknowledged_.erase(move);
+                               .with("workspace", transfer->second.workspace)
+                               .with("tokens", transfer->second.tokens)
+                               .with("id", transfer->first));
+            transfer = unacknowledged_.erase(transfer);
             continue;
         }
-        if (now >= move->second.resendAt) {
-            move->second.resendAt = now + RetransmitDelay;
-            send(move->second.datagram, move->second.destination);
+        if (now >= transfer->second.resendAt) {
+            transfer->second.resendAt = now + RetransmitDelay;
+            send(transfer->second.datagram, transfer->second.destination);
         }
-        ++move;
+        ++transfer;
     }
 }
 
 uint64_t PeerLink::tokensInTransit(const WorkspaceId &workspace) const
 {
     uint64_t total = 0;
-    for (const auto &[id, move] : unacknowledged_) {
-        total += move.workspace == workspace ? move.tokens : 0;
+    for (const auto &[id, transfer] : unacknowledged_) {
+        total += transfer.workspace == workspace ? transfer.tokens : 0;
     }
     return total;
 }
--- a/lib/Edge/TokenService.cpp
+++ b/lib/Edge/TokenService.cpp
@@ -24,9 +24,9 @@
 constexpr Interval MaxTokenWait = std::chrono::milliseconds(200);
 
 /// For this long after a request found too few tokens, requests for as many are refused at once.
-constexpr Interval ShortageDuration = std::chrono::milliseconds(300);
+constexpr Interval ShortfallDuration = std::chrono::milliseconds(300);
 
-/// Retry delay told to callers while the store is unreachable, which may last any time.
+/// Retry delay told to callers while the store is unreachable; it isn't known when it returns.
 constexpr Interval RetryDelayWithoutStore = std::chrono::milliseconds(1000);
 
 /// Retry delay told to callers while the store still has tokens or open requests may return some.
@@ -156,7 +156,7 @@
 {
     holder_.setBudgets(budgets, now);
     chooseHomes();
-    shortages_.clear();
+    shortfalls_.clear();
 }
 
 void TokenService::onRows(const std::vector<StoreRow> &rows)
@@ -497,15 +497,15 @@
     WaitingRequest waiting{
             ++lastRequestId_,  workspace, tokens, now, std::min(deadline, now + MaxTokenWait),
             std::move(handler)};
-    const auto recent = shortages_.find(workspace);
-    const bool isShort = recent != shortages_.end() && now < recent->second.until
+    const auto recent = shortfalls_.find(workspace);
+    const bool isShort = recent != shortfalls_.end() && now < recent->second.until
                          && tokens >= recent->second.tokens
                          && holder_.budgetState(workspace, tokens) != BudgetState::Available;
     if (isShort) {
         // The failed reservation counted this request as waiting.
         updateRequiredTokens(workspace);
         const auto refuse = std::move(waiting.handler);
-        refuse(shortageVerdict(waiting, now));
+        refuse(shortfallVerdict(waiting, now));
         return 0;
     }
     const TokenRequestId requestId = waiting.requestId;
@@ -575,13 +575,13 @@
         waiting = next;
     }
     for (const WaitingRequest &waiting : expired) {
-        shortages_[waiting.workspace] = {waiting.tokens, now + ShortageDuration};
+        shortfalls_[waiting.workspace] = {waiting.tokens, now + ShortfallDuration};
         updateRequiredTokens(waiting.workspace);
-        waiting.handler(shortageVerdict(waiting, now));
+        waiting.handler(shortfallVerdict(waiting, now));
     }
 }
 
-Verdict TokenService::shortageVerdict(const WaitingRequest &waiting, Instant now) const
+Verdict TokenService::shortfallVerdict(const WaitingRequest &waiting, Instant now) const
 {
     const BudgetState state = holder_.budgetState(waiting.workspace, waiting.tokens);
     const std::string detail = fmt::format(
--- a/unittests/Edge/PeerLinkTest.cpp
+++ b/unittests/Edge/PeerLinkTest.cpp
@@ -99,15 +99,15 @@
 TEST_F(PeerLinkTest, RespondsToClockRequests)
 {
     link_.requestClock(peerSocket_.local_endpoint(), Millis(40));
-    nlohmann::json ask = nextDatagram();
-    ask["from"] = "peer";
-    deliver(ask);
-    const nlohmann::json report = nextDatagram();
-    EXPECT_EQ(report.at("kind"), "clocks");
-    EXPECT_EQ(report.at("to"), "peer");
-    EXPECT_EQ(report.at("from"), "self");
-    EXPECT_EQ(report.at("about"), ask.at("about"));
-    EXPECT_GT(report.at("since_boot_ms").get<int64_t>(), 0);
+    nlohmann::json request = nextDatagram();
+    request["from"] = "peer";
+    deliver(request);
+    const nlohmann::json response = nextDatagram();
+    EXPECT_EQ(response.at("kind"), "clocks");
+    EXPECT_EQ(response.at("to"), "peer");
+    EXPECT_EQ(response.at("from"), "self");
+    EXPECT_EQ(response.at("about"), request.at("about"));
+    EXPECT_GT(response.at("since_boot_ms").get<int64_t>(), 0);
 }
 
 struct HeldByPeersCase
@@ -133,10 +133,10 @@
                      peerSocket_.local_endpoint()}});
     link_.requestClock(peerSocket_.local_endpoint(), Millis(0));
     nextDatagram();
-    nlohmann::json move = {{"kind", "move"}, {"from", "peer"},   {"to", "self"},
-                           {"id", 0},        {"workspace", "w"}, {"tokens", 0}};
-    move.update(GetParam().report);
-    deliver(move);
+    nlohmann::json transfer = {{"kind", "move"}, {"from", "peer"},   {"to", "self"},
+                               {"id", 0},        {"workspace", "w"}, {"tokens", 0}};
+    transfer.update(GetParam().report);
+    deliver(transfer);
     EXPECT_EQ(link_.heldByPeers(WorkspaceId("w"), Instant()), GetParam().tokens);
 }
 
@@ -176,9 +176,9 @@
     ASSERT_EQ(link_.homeRespondedRecently(workspace, now), GetParam().isHome);
     if (GetParam().isHome) {
         link_.transferToHome(workspace, 30, now);
-        const nlohmann::json move = nextDatagram();
-        EXPECT_EQ(move.at("to"), "peer");
-        EXPECT_EQ(move.at("tokens"), 30);
+        const nlohmann::json transfer = nextDatagram();
+        EXPECT_EQ(transfer.at("to"), "peer");
+        EXPECT_EQ(transfer.at("tokens"), 30);
     }
     EXPECT_FALSE(link_.homeRespondedRecently(workspace, now + std::chrono::minutes(1)));
 }
@@ -196,10 +196,10 @@
              {"need", 9},
              {"usable", 0},
              {"per_second", 0}});
-    const nlohmann::json move = nextDatagram();
-    EXPECT_EQ(move.at("usable"), 5);
-    EXPECT_EQ(move.at("reserved"), 7);
-    EXPECT_EQ(move.at("settling"), false);
+    const nlohmann::json transfer = nextDatagram();
+    EXPECT_EQ(transfer.at("usable"), 5);
+    EXPECT_EQ(transfer.at("reserved"), 7);
+    EXPECT_EQ(transfer.at("settling"), false);
 }
 
 } // namespace
