--- a/lib/Edge/EndpointDirectory.cpp
+++ b/lib/Edge/EndpointDirectory.cpp
@@ -77,18 +77,18 @@
     const auto [found, added] = entries_.try_emplace(entry.id);
     ListedEndpoint &listed = found->second;
     const EndpointEntry &known = listed.entry;
-    const bool reborn = !added && known.startedAtMillis != entry.startedAtMillis;
-    const bool same = !added && !reborn && known.address == entry.address
-                      && known.service == entry.service && known.domain == entry.domain
-                      && known.slots == entry.slots && known.draining == entry.draining
-                      && listed.removeAt == Never;
-    if (same) {
+    const bool restarted = !added && known.startedAtMillis != entry.startedAtMillis;
+    const bool isUnchanged = !added && !restarted && known.address == entry.address
+                             && known.service == entry.service && known.domain == entry.domain
+                             && known.slots == entry.slots && known.draining == entry.draining
+                             && listed.removeAt == Never;
+    if (isUnchanged) {
         return;
     }
     listed.entry = entry;
     listed.address = *address;
     listed.removeAt = Never;
-    if (reborn) {
+    if (restarted) {
         listed.excludedUntil = Instant();
     }
     changed_ = true;
@@ -96,7 +96,7 @@
                        .with("endpoint", entry.id)
                        .with("service", entry.service)
                        .with("draining", entry.draining)
-                       .with("reborn", reborn));
+                       .with("reborn", restarted));
 }
 
 void EndpointDirectory::remove(const EndpointId &id, RemovalReason reason, Instant now)
