--- a/include/sequoiagate/Proxy/CallerCloseReason.h
+++ b/include/sequoiagate/Proxy/CallerCloseReason.h
@@ -17,7 +17,7 @@
     StopForced,  ///< the time for a planned stop was over
 };
 
-std::string_view callerCloseName(CallerCloseReason why);
+std::string_view callerCloseReasonName(CallerCloseReason why);
 
 } // namespace sequoiagate
 
--- a/include/sequoiagate/Proxy/CallerConnection.h
+++ b/include/sequoiagate/Proxy/CallerConnection.h
@@ -27,9 +27,9 @@
 class CallerConnection : public std::enable_shared_from_this<CallerConnection>, private ResponseSink
 {
 public:
-    using Closed = std::function<void(const std::shared_ptr<CallerConnection> &)>;
+    using ClosedHandler = std::function<void(const std::shared_ptr<CallerConnection> &)>;
 
-    CallerConnection(ProxyContext &context, boost::asio::ip::tcp::socket socket, Closed closed);
+    CallerConnection(ProxyContext &context, boost::asio::ip::tcp::socket socket, ClosedHandler closed);
 
     void start();
     /// Closes the connection if it waits for a request; else its answer says that it closes.
@@ -44,7 +44,7 @@
     using ErrorCode = boost::system::error_code;
 
     // ---- AnswerSink ----
-    void answer(ResponseHead head, std::string_view body) override;
+    void sendResponse(ResponseHead head, std::string_view body) override;
     void beginStream(ResponseHead head) override;
     void streamData(std::string_view bytes) override;
     void endStream() override;
@@ -56,13 +56,13 @@
     void readRequest();
     void beginExchange();
     /// The error with which the caller's connection has ended, if that is known already.
-    ErrorCode endOfPeer();
-    void closeByPeer(const ErrorCode &error);
+    ErrorCode peekCloseError();
+    void onPeerClosed(const ErrorCode &error);
     void refuseRequest(HttpParseError fault);
-    void answered(bool keepAlive);
+    void onResponseQueued(bool keepAlive);
     /// Says for how long an idle connection may be used again, if it is kept.
-    void nameIdleLimit(ResponseHead &head) const;
-    void nextRequest();
+    void addKeepAliveField(ResponseHead &head) const;
+    void awaitNextRequest();
     void armTimer(Interval limit);
     void onTimer();
     void queue(std::string bytes);
@@ -71,13 +71,13 @@
 
     ProxyContext &context_;
     boost::asio::ip::tcp::socket socket_;
-    Closed closed_;
+    ClosedHandler closed_;
     DeadlineTimer timer_;
     std::array<char, 8192> readBuffer_;
-    std::string unread_; ///< received, not yet a request
+    std::string unparsed_; ///< received, not yet a request
     std::optional<RequestReader> reader_;
     std::string body_;
-    Instant requestBegan_{};
+    Instant requestStartedAt_{};
     std::shared_ptr<Exchange> exchange_;
     std::deque<std::string> outgoing_;
     std::size_t backlog_ = 0;
--- a/include/sequoiagate/Proxy/ConnectionPool.h
+++ b/include/sequoiagate/Proxy/ConnectionPool.h
@@ -16,10 +16,10 @@
 {
     HttpConnectionSettings connection;
     /// Idle connections kept to one address.
-    std::size_t idlePerAddress = 32;
+    std::size_t maxIdlePerAddress = 32;
     /// An idle connection isn't used beyond this; servers close theirs after a while that
     /// they say in whole seconds, and a request that crosses the close may have run.
-    Interval longestIdle = std::chrono::seconds(4);
+    Interval maxIdleTime = std::chrono::seconds(4);
 };
 
 /// Single-threaded.
@@ -35,7 +35,7 @@
     std::shared_ptr<HttpConnection> take(const boost::asio::ip::tcp::endpoint &address,
                                          Instant now);
     /// Closes the idle connections to \p address.
-    void drop(const boost::asio::ip::tcp::endpoint &address);
+    void closeIdle(const boost::asio::ip::tcp::endpoint &address);
     /// Closes idle connections that have been idle for too long.
     void closeExpired(Instant now);
     std::uint64_t opened() const { return opened_; }
@@ -44,8 +44,8 @@
 private:
     using Idle = std::vector<std::shared_ptr<HttpConnection>>;
 
-    void keep(const std::shared_ptr<HttpConnection> &connection);
-    void forget(const HttpConnection &connection);
+    void addIdle(const std::shared_ptr<HttpConnection> &connection);
+    void removeIdle(const HttpConnection &connection);
 
     boost::asio::io_context &io_;
     ConnectionPoolSettings settings_;
--- a/include/sequoiagate/Proxy/Dialect.h
+++ b/include/sequoiagate/Proxy/Dialect.h
@@ -32,7 +32,7 @@
     Interval timeout = std::chrono::seconds(30); ///< how long it waits for the answer
     uint64_t promptTokens = 0;
     uint64_t maxOutputTokens = 0; ///< at most
-    bool countsTokens = false;    ///< the two above were sent
+    bool hasTokenCounts = false;    ///< the two above were sent
     std::vector<PromptPart> prompt;
     std::optional<uint64_t> lastEventId; ///< it goes on behind this one
 };
@@ -43,20 +43,20 @@
     Interval timeout{};
     EndpointId endpoint;
     WorkspaceId workspace; ///< empty where the route needs no key
-    uint32_t urgency = 5;  ///< 0 is the most urgent
-    bool byUrgency = false;
-    std::optional<uint64_t> resumeBehind; ///< the last event that the caller has
+    uint32_t priority = 5;  ///< 0 is the most urgent
+    bool sendPriority = false;
+    std::optional<uint64_t> resumeAfter; ///< the last event that the caller has
 };
 
 /// What an endpoint's answer says beside its body.
 struct ResponseMetadata
 {
-    RequestId echoedId;
+    RequestId requestId;
     bool notExecuted = false;            ///< the endpoint says that it did not run the request
-    std::optional<Interval> keptOpenFor; ///< it closes an idle connection after this
-    bool eventStream = false;
-    bool encoded = false; ///< its body isn't the endpoint's own bytes
-    bool signedByEndpoint = false;
+    std::optional<Interval> keepAliveTimeout; ///< it closes an idle connection after this
+    bool isEventStream = false;
+    bool hasContentEncoding = false; ///< its body isn't the endpoint's own bytes
+    bool hasSignature = false;
 };
 
 /// Immutable, so thread safe.
--- a/include/sequoiagate/Proxy/EventSplitter.h
+++ b/include/sequoiagate/Proxy/EventSplitter.h
@@ -24,13 +24,13 @@
 {
 public:
     /// An event larger than this is a fault of the endpoint.
-    static constexpr std::size_t MostEventBytes = 256 * 1024;
+    static constexpr std::size_t MaxEventBytes = 256 * 1024;
 
     /// \returns the events that \p bytes make whole.
     std::vector<StreamEvent> feed(std::string_view bytes);
     /// Bytes of an event that isn't whole.
     std::size_t pending() const { return pending_.size(); }
-    bool overflowed() const { return pending_.size() > MostEventBytes; }
+    bool overflowed() const { return pending_.size() > MaxEventBytes; }
 
 private:
     std::string pending_;
--- a/include/sequoiagate/Proxy/Exchange.h
+++ b/include/sequoiagate/Proxy/Exchange.h
@@ -41,18 +41,18 @@
 class Exchange : public std::enable_shared_from_this<Exchange>, private HttpCallObserver
 {
 public:
-    /// \pre context and sink outlive the exchange, or callerGone is called before the sink goes.
+    /// \pre context and sink outlive the exchange, or onCallerClosed is called before the sink goes.
     Exchange(ProxyContext &context, CallerRequest request, ResponseSink &sink);
     ~Exchange() override;
 
     void start();
     /// The caller's connection is closed. \param detail the error, if there was one
-    void callerGone(CallerCloseReason why, const std::string &detail);
+    void onCallerClosed(CallerCloseReason why, const std::string &detail);
     /// Ends it at once, since the process ends, and tells its caller whether it may have run.
-    void cutOff();
+    void stop();
     /// The caller took bytes: more may be read from the endpoint.
-    void callerTook();
-    bool ended() const { return position_.isFinished(); }
+    void onBacklogReduced();
+    bool ended() const { return statechart_.isFinished(); }
 
 private:
     /// One sending to one endpoint.
@@ -63,20 +63,20 @@
         std::shared_ptr<HttpConnection> connection;
         EndpointId endpoint;
         Instant sentAt;
-        ResponseMetadata terms;
+        ResponseMetadata metadata;
         ResponseHead head;
         std::string body;
         EventSplitter splitter;
-        bool answering = false; ///< a good answer's head has come
-        bool firstEvent = false;
+        bool isSuccess = false; ///< a good answer's head has come
+        bool hasFirstEvent = false;
         bool passThrough = false; ///< a plain answer too large to be held
         /// How it counts if it ends now. An end that nobody told counts as a cut.
-        AttemptOutcome end = AttemptOutcome::ConnectionLost;
+        AttemptOutcome outcome = AttemptOutcome::ConnectionLost;
     };
 
-    void decide();
-    bool allowed();
-    void reserve();
+    void admit();
+    bool resolveRouteAndWorkspace();
+    void reserveTokens();
     void onReserved(std::optional<Verdict> refusal);
     void place();
     void send(const PlacementTarget &placed);
@@ -86,35 +86,35 @@
     void onHead(const ResponseHead &head) override;
     void onBody(std::string_view bytes) override;
     void onDone() override;
-    void onBroken(CallBreak how, const std::string &why) override;
+    void onFailed(CallFailure how, const std::string &why) override;
     void onStreamBytes(std::string_view bytes);
-    bool takeEvent(const StreamEvent &event);
+    bool forwardEvent(const StreamEvent &event);
     void beginStream();
     void onNotExecuted();
-    void onPlainAnswer();
+    void onPlainResponse();
     void endAttempt(bool succeeded);
-    void dropAttempt(bool succeeded);
+    void cancelAttempt(bool succeeded);
 
     // ---- what is done about a failure ----
-    bool mayRunAgain() const;
+    bool mayRetry() const;
     void onNotConnected(const std::string &why, Instant now);
-    void runAgainOrFail(const std::string &why);
-    void tryElsewhere(const std::string &why);
+    void retryOrFail(const std::string &why);
+    void retryElsewhere(const std::string &why);
     void refuse(Verdict verdict);
     /// Refuses what the configuration doesn't allow; only for now if it may be out of date.
     void refuseByConfig(Reason reason, const std::string &why);
     void fail(Reason reason, const std::string &why, int status);
     void onDeadline();
-    void onSilence();
-    void armSilence(Interval limit);
-    void awaitSilence();
-    void noLongerAwaitSilence();
+    void onStalled();
+    void setStallTimeout(Interval limit);
+    void armStallTimer();
+    void disarmStallTimer();
 
     void finish(std::string_view event, std::string_view outcome, int status);
     void settle();
     uint64_t spentTokens() const;
     /// Notes that the open attempt, if any, is broken off by this side.
-    void noteBrokenOff(AttemptOutcome end);
+    void recordLocalEnd(AttemptOutcome outcome);
     WorkItem workItem() const;
     Interval remaining(Instant now) const;
     void log(Event event);
@@ -123,29 +123,29 @@
     CallerRequest request_;
     ResponseSink &sink_;
     ServingConfigPtr config_;
-    RequestMetadata terms_;
+    RequestMetadata metadata_;
     const Route *route_ = nullptr;
     const WorkspaceSpec *workspace_ = nullptr;
     const ServiceSpec *service_ = nullptr;
-    StatechartInstance position_;
+    StatechartInstance statechart_;
     Instant deadline_ = Never;
     boost::asio::steady_timer deadlineTimer_;
-    DeadlineTimer silenceTimer_;
-    Instant silentAt_ = Never; ///< the endpoint counts as silent then
-    bool awaitsSilence_ = false;
-    std::optional<TokenRequestId> ticket_;
-    uint64_t reserved_ = 0;
-    bool holdsTokens_ = false;
+    DeadlineTimer stallTimer_;
+    Instant stallDeadline_ = Never; ///< the endpoint counts as silent then
+    bool stallTimerArmed_ = false;
+    std::optional<TokenRequestId> tokenRequest_;
+    uint64_t reservedTokens_ = 0;
+    bool hasReservation_ = false;
     std::optional<Attempt> attempt_;
-    std::vector<EndpointId> tried_;
-    uint32_t sends_ = 0;        ///< endpoints that a byte of it was, or may have been, sent to
-    uint32_t unconnected_ = 0;  ///< endpoints that it could not connect to
-    uint32_t possibleRuns_ = 0; ///< of these, that may have begun to run it
-    std::vector<AttemptOutcome> ends_; ///< of all attempts but an open one
+    std::vector<EndpointId> triedEndpoints_;
+    uint32_t sendCount_ = 0;        ///< endpoints that a byte of it was, or may have been, sent to
+    uint32_t connectFailures_ = 0;  ///< endpoints that it could not connect to
+    uint32_t possibleExecutions_ = 0; ///< of these, that may have begun to run it
+    std::vector<AttemptOutcome> attemptEnds_; ///< of all attempts but an open one
     bool streaming_ = false;           ///< the caller has the head of a stream
-    bool plainAnswerTold_ = false;     ///< of a success, whole or in part
-    uint64_t eventsTold_ = 0;
-    std::optional<uint64_t> lastEvent_;
+    bool plainResponseForwarded_ = false;     ///< of a success, whole or in part
+    uint64_t forwardedEvents_ = 0;
+    std::optional<uint64_t> lastEventId_;
     std::shared_ptr<Exchange> self_; ///< while it is open
 };
 
--- a/include/sequoiagate/Proxy/HttpConnection.h
+++ b/include/sequoiagate/Proxy/HttpConnection.h
@@ -28,13 +28,13 @@
 namespace sequoiagate {
 
 /// How far a call had come when its connection was lost.
-enum class CallBreak {
+enum class CallFailure {
     NotConnected, ///< no byte left
-    Sent,         ///< a part of the request may have arrived
+    MaybeSent,         ///< a part of the request may have arrived
 };
 
 /// Receives what becomes of one call. Each call ends with exactly one of onDone and
-/// onBroken, unless it is cancelled. Any method may cancel the call.
+/// onFailed, unless it is cancelled. Any method may cancel the call.
 class HttpCallObserver
 {
 public:
@@ -44,7 +44,7 @@
     virtual void onBody(std::string_view bytes) = 0;
     /// The whole answer has come.
     virtual void onDone() = 0;
-    virtual void onBroken(CallBreak how, const std::string &why) = 0;
+    virtual void onFailed(CallFailure how, const std::string &why) = 0;
 };
 
 struct HttpConnectionSettings
@@ -98,7 +98,7 @@
     void deliver(std::string_view bytes);
     void onEndOfStream(const ErrorCode &error);
     void finishCall();
-    void breakCall(CallBreak how, const std::string &why);
+    void failCall(CallFailure how, const std::string &why);
     void close();
 
     boost::asio::ip::tcp::endpoint address_;
@@ -116,7 +116,7 @@
     bool writing_ = false;
     bool reading_ = false;
     bool readingPaused_ = false;
-    bool headTold_ = false;
+    bool headDelivered_ = false;
 };
 
 } // namespace sequoiagate
--- a/include/sequoiagate/Proxy/ProxyContext.h
+++ b/include/sequoiagate/Proxy/ProxyContext.h
@@ -92,7 +92,7 @@
     /// be allowed meanwhile.
     std::function<bool()> configIsCurrent;
     /// Whether callers are to go elsewhere, since the process stops or its link is full.
-    std::function<bool()> sendsAway;
+    std::function<bool()> shouldShedConnections;
 };
 
 } // namespace sequoiagate
--- a/include/sequoiagate/Proxy/ResponseSink.h
+++ b/include/sequoiagate/Proxy/ResponseSink.h
@@ -16,7 +16,7 @@
 public:
     virtual ~ResponseSink() = default;
     /// A whole answer.
-    virtual void answer(ResponseHead head, std::string_view body) = 0;
+    virtual void sendResponse(ResponseHead head, std::string_view body) = 0;
     virtual void beginStream(ResponseHead head) = 0;
     virtual void streamData(std::string_view bytes) = 0;
     virtual void endStream() = 0;
--- a/lib/Proxy/CallerCloseReason.cpp
+++ b/lib/Proxy/CallerCloseReason.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-std::string_view callerCloseName(CallerCloseReason why)
+std::string_view callerCloseReasonName(CallerCloseReason why)
 {
     for (const CloseName &row : CloseNames) {
         if (row.why == why) {
--- a/lib/Proxy/CallerConnection.cpp
+++ b/lib/Proxy/CallerConnection.cpp
@@ -66,7 +66,7 @@
 
 } // namespace
 
-CallerConnection::CallerConnection(ProxyContext &context, tcp::socket socket, Closed closed)
+CallerConnection::CallerConnection(ProxyContext &context, tcp::socket socket, ClosedHandler closed)
     : context_(context), socket_(std::move(socket)), closed_(std::move(closed)), timer_(context.io)
 {}
 
@@ -75,13 +75,13 @@
     ErrorCode ignored;
     socket_.set_option(tcp::no_delay(true), ignored);
     socket_.non_blocking(true, ignored);
-    nextRequest();
+    awaitNextRequest();
     read();
 }
 
 void CallerConnection::read()
 {
-    if (reading_ || isClosed_ || unread_.size() > MostPipelinedBytes) {
+    if (reading_ || isClosed_ || unparsed_.size() > MostPipelinedBytes) {
         return;
     }
     reading_ = true;
@@ -98,15 +98,15 @@
         return;
     }
     if (error) {
-        closeByPeer(error);
+        onPeerClosed(error);
         return;
     }
     if (lingering_) {
         read();
         return;
     }
-    unread_.append(readBuffer_.data(), bytes);
-    // Behind an answer the next request is begun by the handler that answered() queued.
+    unparsed_.append(readBuffer_.data(), bytes);
+    // Behind an answer the next request is begun by the handler that onResponseQueued() queued.
     const bool isBetweenRequests = reader_->done();
     if (!exchange_ && !closeWhenWritten_ && !isBetweenRequests) {
         readRequest();
@@ -116,18 +116,18 @@
 
 void CallerConnection::readRequest()
 {
-    if (unread_.empty()) {
+    if (unparsed_.empty()) {
         return;
     }
     const bool hadBegun = reader_->begun();
     if (!hadBegun) {
         // The limits that are in force now, not when the connection began to wait.
         reader_.emplace(makeReader(context_));
-        requestBegan_ = std::chrono::steady_clock::now();
+        requestStartedAt_ = std::chrono::steady_clock::now();
     }
     const bool hadHead = reader_->hasHead();
-    const std::size_t used = reader_->feed(unread_);
-    unread_.erase(0, used);
+    const std::size_t used = reader_->feed(unparsed_);
+    unparsed_.erase(0, used);
     if (!hadBegun && reader_->begun()) {
         armTimer(limitsOf(context_).headerTimeout);
     }
@@ -148,7 +148,7 @@
     }
 }
 
-CallerConnection::ErrorCode CallerConnection::endOfPeer()
+CallerConnection::ErrorCode CallerConnection::peekCloseError()
 {
     char next = 0;
     ErrorCode error;
@@ -156,7 +156,7 @@
     return error == asio::error::would_block ? ErrorCode() : error;
 }
 
-void CallerConnection::closeByPeer(const ErrorCode &error)
+void CallerConnection::onPeerClosed(const ErrorCode &error)
 {
     const bool ended = error == asio::error::eof;
     close(ended ? CallerCloseReason::PeerClosed : CallerCloseReason::ReadFailed, error);
@@ -167,14 +167,14 @@
     timer_.disarm();
     // A request may have waited long enough for its caller to have left: an endpoint would work
     // for nobody.
-    if (const ErrorCode gone = endOfPeer()) {
-        closeByPeer(gone);
+    if (const ErrorCode gone = peekCloseError()) {
+        onPeerClosed(gone);
         return;
     }
     CallerRequest request;
     request.head = std::move(reader_->head());
     request.body = std::exchange(body_, std::string());
-    request.receivedAt = requestBegan_;
+    request.receivedAt = requestStartedAt_;
     keepAlive_ = request.head.keepAlive;
     context_.link.onReceived(request.body.size() + HeadBytes, std::chrono::steady_clock::now());
     // Kept here as well: an exchange that is refused ends inside start().
@@ -203,21 +203,21 @@
     ResponseHead head = context_.dialect.encodeRefusal(status, RequestId(), comeBackAfter);
     head.keepAlive = false;
     queue(writeResponseHead(head, BodyFraming::Length, 0));
-    answered(false);
+    onResponseQueued(false);
 }
 
-void CallerConnection::answer(ResponseHead head, std::string_view body)
+void CallerConnection::sendResponse(ResponseHead head, std::string_view body)
 {
-    const bool keep = keepAlive_ && !context_.sendsAway();
+    const bool keep = keepAlive_ && !context_.shouldShedConnections();
     head.keepAlive = keep;
-    nameIdleLimit(head);
+    addKeepAliveField(head);
     std::string bytes = writeResponseHead(head, BodyFraming::Length, body.size());
     bytes.append(body);
     queue(std::move(bytes));
-    answered(keep);
+    onResponseQueued(keep);
 }
 
-void CallerConnection::nameIdleLimit(ResponseHead &head) const
+void CallerConnection::addKeepAliveField(ResponseHead &head) const
 {
     const Interval told = limitsOf(context_).idleTimeout - IdleMargin;
     const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(told).count();
@@ -228,9 +228,9 @@
 
 void CallerConnection::beginStream(ResponseHead head)
 {
-    keepAlive_ = keepAlive_ && !context_.sendsAway();
+    keepAlive_ = keepAlive_ && !context_.shouldShedConnections();
     head.keepAlive = keepAlive_;
-    nameIdleLimit(head);
+    addKeepAliveField(head);
     queue(writeResponseHead(head, BodyFraming::Chunked, 0));
 }
 
@@ -244,17 +244,17 @@
 void CallerConnection::endStream()
 {
     queue(std::string(LastChunk));
-    answered(keepAlive_);
+    onResponseQueued(keepAlive_);
 }
 
 void CallerConnection::abort()
 {
     // What came before the cut is the caller's; without the last chunk it isn't complete.
-    answered(false);
+    onResponseQueued(false);
     armTimer(LingerTime);
 }
 
-void CallerConnection::answered(bool keepAlive)
+void CallerConnection::onResponseQueued(bool keepAlive)
 {
     exchange_.reset();
     if (!keepAlive) {
@@ -265,21 +265,21 @@
     // Not from inside the exchange that is just ending.
     asio::post(context_.io, [self = shared_from_this()] {
         if (!self->isClosed_ && !self->exchange_ && !self->closeWhenWritten_) {
-            self->nextRequest();
+            self->awaitNextRequest();
             self->readRequest();
             self->read();
         }
     });
 }
 
-void CallerConnection::nextRequest()
+void CallerConnection::awaitNextRequest()
 {
     reader_.emplace(makeReader(context_));
     body_.clear();
     // The first request is waited for: a caller that was sent here just now would find its
     // connection closed before it could ask.
     const bool first = std::exchange(isNew_, false);
-    if (!first && context_.sendsAway()) {
+    if (!first && context_.shouldShedConnections()) {
         drain();
         if (isClosed_) {
             return;
@@ -308,12 +308,12 @@
     ResponseHead head = context_.dialect.encodeRefusal(408, RequestId(), std::nullopt);
     head.keepAlive = false;
     queue(writeResponseHead(head, BodyFraming::Length, 0));
-    answered(false);
+    onResponseQueued(false);
 }
 
 void CallerConnection::drain()
 {
-    const bool waits = !exchange_ && reader_ && !reader_->begun() && unread_.empty();
+    const bool waits = !exchange_ && reader_ && !reader_->begun() && unparsed_.empty();
     if (waits && outgoing_.empty() && !writing_) {
         close(CallerCloseReason::Drained);
     }
@@ -323,7 +323,7 @@
 {
     if (exchange_) {
         const std::shared_ptr<Exchange> exchange = exchange_;
-        exchange->cutOff();
+        exchange->stop();
         return;
     }
     if (!closeWhenWritten_) {
@@ -382,7 +382,7 @@
                               return;
                           }
                           if (self->exchange_) {
-                              self->exchange_->callerTook();
+                              self->exchange_->onBacklogReduced();
                           }
                           self->write();
                       });
@@ -398,10 +398,10 @@
     ErrorCode ignored;
     socket_.close(ignored);
     const auto self = shared_from_this();
-    context_.metrics.count("proxy_caller_closed_total", {{"why", std::string(callerCloseName(why))},
+    context_.metrics.count("proxy_caller_closed_total", {{"why", std::string(callerCloseReasonName(why))},
                                                          {"request", exchange_ ? "open" : "none"}});
     if (const std::shared_ptr<Exchange> exchange = std::move(exchange_)) {
-        exchange->callerGone(why, error ? error.message() : std::string());
+        exchange->onCallerClosed(why, error ? error.message() : std::string());
     }
     if (closed_) {
         closed_(self);
--- a/lib/Proxy/ConnectionPool.cpp
+++ b/lib/Proxy/ConnectionPool.cpp
@@ -12,7 +12,7 @@
 
 std::shared_ptr<HttpConnection> ConnectionPool::take(const tcp::endpoint &address, Instant now)
 {
-    return take(address, settings_.longestIdle, now);
+    return take(address, settings_.maxIdleTime, now);
 }
 
 std::shared_ptr<HttpConnection> ConnectionPool::take(const tcp::endpoint &address,
@@ -34,26 +34,26 @@
     }
     auto connection = std::make_shared<HttpConnection>(io_, address, settings_.connection);
     connection->onIdle = [this](const std::shared_ptr<HttpConnection> &idle) {
-        keep(idle);
+        addIdle(idle);
     };
     connection->onIdleLost = [this](const HttpConnection &lost) {
-        forget(lost);
+        removeIdle(lost);
     };
     ++opened_;
     return connection;
 }
 
-void ConnectionPool::keep(const std::shared_ptr<HttpConnection> &connection)
+void ConnectionPool::addIdle(const std::shared_ptr<HttpConnection> &connection)
 {
     Idle &idle = idle_[connection->address()];
     idle.push_back(connection);
-    if (idle.size() > settings_.idlePerAddress) {
+    if (idle.size() > settings_.maxIdlePerAddress) {
         idle.front()->cancel();
         idle.erase(idle.begin());
     }
 }
 
-void ConnectionPool::forget(const HttpConnection &connection)
+void ConnectionPool::removeIdle(const HttpConnection &connection)
 {
     const auto found = idle_.find(connection.address());
     if (found == idle_.end()) {
@@ -64,7 +64,7 @@
     });
 }
 
-void ConnectionPool::drop(const tcp::endpoint &address)
+void ConnectionPool::closeIdle(const tcp::endpoint &address)
 {
     const auto found = idle_.find(address);
     if (found == idle_.end()) {
@@ -80,7 +80,7 @@
 {
     for (auto &[address, idle] : idle_) {
         std::erase_if(idle, [this, now](const std::shared_ptr<HttpConnection> &connection) {
-            const bool old = now - connection->idleSince() > settings_.longestIdle
+            const bool old = now - connection->idleSince() > settings_.maxIdleTime
                              || now >= connection->idleUntil();
             if (old) {
                 connection->cancel();
--- a/lib/Proxy/Exchange.cpp
+++ b/lib/Proxy/Exchange.cpp
@@ -44,8 +44,8 @@
 } // namespace
 
 Exchange::Exchange(ProxyContext &context, CallerRequest request, ResponseSink &sink)
-    : context_(context), request_(std::move(request)), sink_(sink), position_(context.chart),
-      deadlineTimer_(context.io), silenceTimer_(context.io)
+    : context_(context), request_(std::move(request)), sink_(sink), statechart_(context.chart),
+      deadlineTimer_(context.io), stallTimer_(context.io)
 {}
 
 Exchange::~Exchange() = default;
@@ -57,36 +57,36 @@
 
 void Exchange::log(Event event)
 {
-    context_.log.write(std::move(event).with("request", terms_.id));
+    context_.log.write(std::move(event).with("request", metadata_.id));
 }
 
 void Exchange::start()
 {
     self_ = shared_from_this();
-    terms_ = context_.dialect.decodeCaller(request_.head);
+    metadata_ = context_.dialect.decodeCaller(request_.head);
     config_ = context_.config();
     // A caller whose stream broke off goes on behind what it has; sent from the start, its
     // stream would have pieces twice.
-    lastEvent_ = terms_.lastEventId;
-    decide();
+    lastEventId_ = metadata_.lastEventId;
+    admit();
 }
 
-void Exchange::decide()
+void Exchange::admit()
 {
-    if (!allowed()) {
+    if (!resolveRouteAndWorkspace()) {
         return;
     }
-    deadline_ = request_.receivedAt + std::min(route_->timeout, terms_.timeout);
+    deadline_ = request_.receivedAt + std::min(route_->timeout, metadata_.timeout);
     deadlineTimer_.expires_at(deadline_);
     deadlineTimer_.async_wait([self = shared_from_this()](const boost::system::error_code &error) {
         if (!error) {
             self->onDeadline();
         }
     });
-    reserve();
+    reserveTokens();
 }
 
-bool Exchange::allowed()
+bool Exchange::resolveRouteAndWorkspace()
 {
     const Instant now = request_.receivedAt;
     if (!config_) {
@@ -95,7 +95,7 @@
         return false;
     }
     const std::string *host = findField(request_.head.fields, "Host");
-    if (host == nullptr || terms_.id.empty()) {
+    if (host == nullptr || metadata_.id.empty()) {
         refuse({Execution::NotRun, Reason::BadRequest, "a request needs a host and an id", {}});
         return false;
     }
@@ -107,7 +107,7 @@
     if (!route_->requiresApiKey) {
         return true;
     }
-    workspace_ = config_->findWorkspaceByKey(terms_.key);
+    workspace_ = config_->findWorkspaceByKey(metadata_.key);
     if (workspace_ == nullptr) {
         refuseByConfig(Reason::Unauthenticated, "no workspace has that key");
         return false;
@@ -115,7 +115,7 @@
     return true;
 }
 
-void Exchange::reserve()
+void Exchange::reserveTokens()
 {
     // The parts of a split route get their share by chance; a repeat stays at its service.
     uint32_t total = 0;
@@ -127,7 +127,7 @@
                 request_.receivedAt + ComeBackSoon});
         return;
     }
-    uint64_t pick = stableHash(terms_.id.text()) % total;
+    uint64_t pick = stableHash(metadata_.id.text()) % total;
     for (const WeightedService &part : route_->services) {
         service_ = config_->findService(part.service);
         if (pick < part.weight) {
@@ -147,28 +147,28 @@
         return;
     }
     context_.placement.onRequest(service_->name, request_.receivedAt);
-    const bool prepaid = workspace_ != nullptr && workspace_->isPrepaid && terms_.countsTokens;
+    const bool prepaid = workspace_ != nullptr && workspace_->isPrepaid && metadata_.hasTokenCounts;
     if (!prepaid) {
         place();
         return;
     }
-    position_.handle("reserve");
-    reserved_ = terms_.promptTokens + terms_.maxOutputTokens;
+    statechart_.handle("reserve");
+    reservedTokens_ = metadata_.promptTokens + metadata_.maxOutputTokens;
     const std::weak_ptr<Exchange> weak = weak_from_this();
     const TokenRequestId ticket = context_.tokens.reserve(
-            workspace_->name, reserved_, deadline_, [weak](std::optional<Verdict> refusal) {
+            workspace_->name, reservedTokens_, deadline_, [weak](std::optional<Verdict> refusal) {
                 if (const std::shared_ptr<Exchange> self = weak.lock()) {
                     self->onReserved(std::move(refusal));
                 }
             });
-    if (!holdsTokens_ && !ended()) {
-        ticket_ = ticket;
+    if (!hasReservation_ && !ended()) {
+        tokenRequest_ = ticket;
     }
 }
 
 void Exchange::onReserved(std::optional<Verdict> refusal)
 {
-    ticket_.reset();
+    tokenRequest_.reset();
     if (refusal && refusal->reason == Reason::BudgetSpent) {
         refuseByConfig(refusal->reason, refusal->detail);
         return;
@@ -177,20 +177,20 @@
         refuse(std::move(*refusal));
         return;
     }
-    holdsTokens_ = true;
+    hasReservation_ = true;
     place();
 }
 
 WorkItem Exchange::workItem() const
 {
     WorkItem item;
-    item.request = terms_.id;
+    item.request = metadata_.id;
     item.workspace = workspace_ == nullptr ? WorkspaceId() : workspace_->name;
     item.service = service_->name;
     const bool urgent = route_->priority == 0;
     item.workClass = urgent ? WorkClass::Interactive : WorkClass::Batch;
-    item.promptTokens = terms_.promptTokens;
-    item.outputCeiling = terms_.maxOutputTokens;
+    item.promptTokens = metadata_.promptTokens;
+    item.outputCeiling = metadata_.maxOutputTokens;
     item.idempotent = route_->kind == RouteKind::Idempotent || route_->resumable;
     item.arrivedAt = request_.receivedAt;
     item.deadline = deadline_;
@@ -199,11 +199,11 @@
 
 void Exchange::place()
 {
-    position_.handle("place");
+    statechart_.handle("place");
     const Instant now = std::chrono::steady_clock::now();
-    PlacementResult placing = context_.placement.place(workItem(), terms_.prompt, tried_, now);
+    PlacementResult placing = context_.placement.place(workItem(), metadata_.prompt, triedEndpoints_, now);
     if (auto *verdict = std::get_if<Verdict>(&placing)) {
-        if (sends_ > 0 && possibleRuns_ > 0) {
+        if (sendCount_ > 0 && possibleExecutions_ > 0) {
             fail(Reason::EndpointFailed, verdict->detail, 502);
             return;
         }
@@ -218,12 +218,12 @@
     ForwardMetadata terms;
     terms.timeout = remaining(now);
     terms.endpoint = endpoint;
-    terms.resumeBehind = lastEvent_;
+    terms.resumeAfter = lastEventId_;
     if (workspace_ != nullptr) {
         terms.workspace = workspace_->name;
     }
-    terms.byUrgency = service_->isModelEngine;
-    terms.urgency = workspace_ != nullptr && workspace_->overridesPriority ? workspace_->priority
+    terms.sendPriority = service_->isModelEngine;
+    terms.priority = workspace_ != nullptr && workspace_->overridesPriority ? workspace_->priority
                                                                            : route_->priority;
     return context_.dialect.encodeForward(request_.head, terms);
 }
@@ -231,10 +231,10 @@
 void Exchange::send(const PlacementTarget &placed)
 {
     const Instant now = std::chrono::steady_clock::now();
-    position_.handle("send");
-    tried_.push_back(placed.endpoint);
-    ++sends_;
-    ++possibleRuns_;
+    statechart_.handle("send");
+    triedEndpoints_.push_back(placed.endpoint);
+    ++sendCount_;
+    ++possibleExecutions_;
     attempt_.emplace(placed.endpoint, now);
     const bool repeatable = route_->kind == RouteKind::Idempotent || route_->resumable;
     attempt_->connection = repeatable ? context_.pool.take(placed.address, now)
@@ -242,102 +242,102 @@
     log(Event("request.sent")
                 .with("endpoint", placed.endpoint)
                 .with("why", placed.reason)
-                .with("attempt", sends_)
+                .with("attempt", sendCount_)
                 .with("left_ms", millis(remaining(now)).count())
                 .with("config", config_->version));
     context_.placement.onSent(placed.endpoint, workItem(), now);
     std::string bytes = writeRequestHead(forwardHead(now, placed.endpoint), request_.body.size());
     bytes += request_.body;
     context_.link.onSent(bytes.size(), now);
-    armSilence(scaled(route_->latencyTarget, SilenceFactor));
+    setStallTimeout(scaled(route_->latencyTarget, SilenceFactor));
     attempt_->connection->call(std::move(bytes), *this);
 }
 
-void Exchange::armSilence(Interval limit)
+void Exchange::setStallTimeout(Interval limit)
 {
-    silentAt_ = mayRunAgain() ? std::chrono::steady_clock::now() + limit : Never;
-    if (!awaitsSilence_ && silentAt_ != Never) {
-        awaitSilence();
+    stallDeadline_ = mayRetry() ? std::chrono::steady_clock::now() + limit : Never;
+    if (!stallTimerArmed_ && stallDeadline_ != Never) {
+        armStallTimer();
     }
 }
 
-void Exchange::awaitSilence()
+void Exchange::armStallTimer()
 {
     // Each event moves the moment; the timer looks again when it fires, since arming it for
     // each event cost as much as reading one.
-    awaitsSilence_ = true;
-    silenceTimer_.arm(silentAt_, [self = shared_from_this()] {
-        self->awaitsSilence_ = false;
-        if (!self->attempt_ || self->silentAt_ == Never) {
+    stallTimerArmed_ = true;
+    stallTimer_.arm(stallDeadline_, [self = shared_from_this()] {
+        self->stallTimerArmed_ = false;
+        if (!self->attempt_ || self->stallDeadline_ == Never) {
             return;
         }
-        if (std::chrono::steady_clock::now() < self->silentAt_) {
-            self->awaitSilence();
+        if (std::chrono::steady_clock::now() < self->stallDeadline_) {
+            self->armStallTimer();
             return;
         }
-        self->onSilence();
+        self->onStalled();
     });
 }
 
-void Exchange::noLongerAwaitSilence()
+void Exchange::disarmStallTimer()
 {
-    silentAt_ = Never;
-    awaitsSilence_ = false;
-    silenceTimer_.disarm();
+    stallDeadline_ = Never;
+    stallTimerArmed_ = false;
+    stallTimer_.disarm();
 }
 
-void Exchange::onSilence()
+void Exchange::onStalled()
 {
-    if (ended() || !mayRunAgain()) {
+    if (ended() || !mayRetry()) {
         return;
     }
     if (!context_.placement.mayRetry(service_->name, std::chrono::steady_clock::now())) {
         return;
     }
-    noteBrokenOff(AttemptOutcome::Stalled);
-    dropAttempt(false);
-    position_.handle("cut");
-    tryElsewhere("the endpoint is silent");
+    recordLocalEnd(AttemptOutcome::Stalled);
+    cancelAttempt(false);
+    statechart_.handle("cut");
+    retryElsewhere("the endpoint is silent");
 }
 
-bool Exchange::mayRunAgain() const
+bool Exchange::mayRetry() const
 {
     const bool repeatable = route_->kind == RouteKind::Idempotent || route_->resumable;
-    return repeatable && sends_ < route_->maxAttempts;
+    return repeatable && sendCount_ < route_->maxAttempts;
 }
 
 void Exchange::onHead(const ResponseHead &head)
 {
     attempt_->head = head;
-    attempt_->terms = context_.dialect.decodeResponse(head);
-    const ResponseMetadata &terms = attempt_->terms;
+    attempt_->metadata = context_.dialect.decodeResponse(head);
+    const ResponseMetadata &terms = attempt_->metadata;
     const Instant now = std::chrono::steady_clock::now();
-    if (terms.keptOpenFor) {
+    if (terms.keepAliveTimeout) {
         // Half a second before the endpoint's own time: a request that crosses its close
         // may have run.
         constexpr Interval Margin = std::chrono::milliseconds(500);
-        attempt_->connection->setIdleUntil(now + *terms.keptOpenFor - Margin);
+        attempt_->connection->setIdleUntil(now + *terms.keepAliveTimeout - Margin);
     }
     const bool good = head.status >= 200 && head.status < 300;
     const bool needsId = good && !terms.notExecuted;
-    const bool foreign = terms.echoedId.empty() ? needsId : terms.echoedId != terms_.id;
+    const bool foreign = terms.requestId.empty() ? needsId : terms.requestId != metadata_.id;
     // Without the signature any status may be another program's that has the address by now.
-    const bool isUnsigned = !terms.notExecuted && !terms.signedByEndpoint;
-    const bool spoilt = isUnsigned || (needsId && terms.encoded);
+    const bool isUnsigned = !terms.notExecuted && !terms.hasSignature;
+    const bool spoilt = isUnsigned || (needsId && terms.hasContentEncoding);
     if (foreign || spoilt) {
         // An answer to somebody else's request, come late, or not the endpoint's own. What
         // follows on this connection can't be trusted either.
-        attempt_->end = AttemptOutcome::ResponseRejected;
-        dropAttempt(false);
-        runAgainOrFail(foreign ? "another request's answer came" : "the answer is spoilt");
+        attempt_->outcome = AttemptOutcome::ResponseRejected;
+        cancelAttempt(false);
+        retryOrFail(foreign ? "another request's answer came" : "the answer is spoilt");
         return;
     }
     if (terms.notExecuted) {
         return;
     }
-    attempt_->answering = good;
+    attempt_->isSuccess = good;
     if (good && route_->kind != RouteKind::Stream) {
-        armSilence(scaled(route_->latencyTarget, SilenceFactor));
+        setStallTimeout(scaled(route_->latencyTarget, SilenceFactor));
     }
 }
 
@@ -345,7 +345,7 @@
 {
     context_.link.onReceived(bytes.size(), std::chrono::steady_clock::now());
     Attempt &attempt = *attempt_;
-    if (attempt.answering && route_->kind == RouteKind::Stream) {
+    if (attempt.isSuccess && route_->kind == RouteKind::Stream) {
         onStreamBytes(bytes);
         return;
     }
@@ -353,9 +353,9 @@
         sink_.streamData(bytes);
     } else {
         attempt.body.append(bytes);
-        if (attempt.answering && attempt.body.size() > MostHeldBytes) {
+        if (attempt.isSuccess && attempt.body.size() > MostHeldBytes) {
             attempt.passThrough = true;
-            plainAnswerTold_ = true;
+            plainResponseForwarded_ = true;
             beginStream();
             sink_.streamData(std::exchange(attempt.body, std::string()));
         }
@@ -376,46 +376,46 @@
 void Exchange::onStreamBytes(std::string_view bytes)
 {
     for (const StreamEvent &event : attempt_->splitter.feed(bytes)) {
-        if (!takeEvent(event)) {
+        if (!forwardEvent(event)) {
             return;
         }
     }
     if (attempt_->splitter.overflowed()) {
-        dropAttempt(false);
-        runAgainOrFail("an event is too large");
+        cancelAttempt(false);
+        retryOrFail("an event is too large");
         return;
     }
-    if (attempt_->firstEvent) {
-        armSilence(scaled(route_->eventGapTarget, PauseFactor));
+    if (attempt_->hasFirstEvent) {
+        setStallTimeout(scaled(route_->eventGapTarget, PauseFactor));
     }
     if (sink_.backlog() > MostBacklogBytes) {
         attempt_->connection->pauseReading();
     }
 }
 
-bool Exchange::takeEvent(const StreamEvent &event)
+bool Exchange::forwardEvent(const StreamEvent &event)
 {
-    if (event.id && lastEvent_ && *event.id != *lastEvent_ + 1) {
-        dropAttempt(false);
-        runAgainOrFail("the events aren't in order");
+    if (event.id && lastEventId_ && *event.id != *lastEventId_ + 1) {
+        cancelAttempt(false);
+        retryOrFail("the events aren't in order");
         return false;
     }
-    if (!attempt_->firstEvent) {
-        attempt_->firstEvent = true;
+    if (!attempt_->hasFirstEvent) {
+        attempt_->hasFirstEvent = true;
         const Instant now = std::chrono::steady_clock::now();
-        context_.placement.onFirstToken(attempt_->endpoint, terms_.id, now);
-        position_.handle("event");
+        context_.placement.onFirstToken(attempt_->endpoint, metadata_.id, now);
+        statechart_.handle("event");
     }
     beginStream();
     if (event.id) {
-        lastEvent_ = event.id;
+        lastEventId_ = event.id;
     }
-    ++eventsTold_;
+    ++forwardedEvents_;
     sink_.streamData(event.bytes);
     return true;
 }
 
-void Exchange::callerTook()
+void Exchange::onBacklogReduced()
 {
     if (attempt_ && sink_.backlog() <= MostBacklogBytes / 2) {
         attempt_->connection->resumeReading();
@@ -424,39 +424,39 @@
 
 void Exchange::onDone()
 {
-    if (attempt_->terms.notExecuted) {
+    if (attempt_->metadata.notExecuted) {
         onNotExecuted();
         return;
     }
-    if (!attempt_->answering) {
-        onPlainAnswer();
+    if (!attempt_->isSuccess) {
+        onPlainResponse();
         return;
     }
     if (route_->kind != RouteKind::Stream) {
-        onPlainAnswer();
+        onPlainResponse();
         return;
     }
-    if (attempt_->splitter.pending() > 0 || !attempt_->firstEvent) {
+    if (attempt_->splitter.pending() > 0 || !attempt_->hasFirstEvent) {
         endAttempt(false);
-        runAgainOrFail("the stream ended inside an event");
+        retryOrFail("the stream ended inside an event");
         return;
     }
-    attempt_->end = AttemptOutcome::Completed;
+    attempt_->outcome = AttemptOutcome::Completed;
     endAttempt(true);
     sink_.endStream();
     finish("whole", "answered", 200);
 }
 
-void Exchange::onPlainAnswer()
+void Exchange::onPlainResponse()
 {
     const int status = attempt_->head.status;
     const bool failed = status >= 500;
-    attempt_->end = attempt_->answering ? AttemptOutcome::Completed : AttemptOutcome::Failed;
-    if (failed && mayRunAgain()
+    attempt_->outcome = attempt_->isSuccess ? AttemptOutcome::Completed : AttemptOutcome::Failed;
+    if (failed && mayRetry()
         && context_.placement.mayRetry(service_->name, std::chrono::steady_clock::now())) {
         endAttempt(false);
-        position_.handle("cut");
-        tryElsewhere(fmt::format("the endpoint answered {}", status));
+        statechart_.handle("cut");
+        retryElsewhere(fmt::format("the endpoint answered {}", status));
         return;
     }
     if (streaming_ && !attempt_->passThrough) {
@@ -468,50 +468,50 @@
     }
     const ResponseHead head = context_.dialect.encodeResponse(attempt_->head);
     const std::string body = std::move(attempt_->body);
-    plainAnswerTold_ = plainAnswerTold_ || attempt_->answering;
+    plainResponseForwarded_ = plainResponseForwarded_ || attempt_->isSuccess;
     endAttempt(!failed);
     if (streaming_) {
         sink_.endStream();
     } else {
-        sink_.answer(head, body);
+        sink_.sendResponse(head, body);
     }
     finish("whole", failed ? "failed_by_endpoint" : "answered", status);
 }
 
 void Exchange::onNotExecuted()
 {
-    --possibleRuns_;
+    --possibleExecutions_;
     const Instant now = std::chrono::steady_clock::now();
     const int status = attempt_->head.status;
     const EndpointId endpoint = attempt_->endpoint;
     if (status == 421) {
         context_.placement.onStaleEndpoint(endpoint, now);
     }
-    attempt_->end = AttemptOutcome::NotExecuted;
+    attempt_->outcome = AttemptOutcome::NotExecuted;
     endAttempt(status != 421);
-    position_.handle("not_run");
+    statechart_.handle("not_run");
     const std::string why = fmt::format("endpoint {} refused with {}", endpoint.text(), status);
     const bool again =
-            sends_ < route_->maxAttempts && context_.placement.mayRetry(service_->name, now);
+            sendCount_ < route_->maxAttempts && context_.placement.mayRetry(service_->name, now);
     if (again) {
-        tryElsewhere(why);
+        retryElsewhere(why);
         return;
     }
     refuse({Execution::NotRun, Reason::NoEndpoint, why, now + ComeBackSoon});
 }
 
-void Exchange::onBroken(CallBreak how, const std::string &why)
+void Exchange::onFailed(CallFailure how, const std::string &why)
 {
     const Instant now = std::chrono::steady_clock::now();
-    if (how == CallBreak::NotConnected) {
+    if (how == CallFailure::NotConnected) {
         // No byte left, so this sending wasn't one.
-        --possibleRuns_;
-        --sends_;
+        --possibleExecutions_;
+        --sendCount_;
         onNotConnected(why, now);
         return;
     }
     endAttempt(false);
-    runAgainOrFail(why);
+    retryOrFail(why);
 }
 
 void Exchange::onNotConnected(const std::string &why, Instant now)
@@ -523,57 +523,57 @@
     if (!ownLink) {
         context_.placement.onStaleEndpoint(attempt_->endpoint, now);
     }
-    attempt_->end = AttemptOutcome::NotConnected;
+    attempt_->outcome = AttemptOutcome::NotConnected;
     endAttempt(false);
-    position_.handle("not_run");
-    ++unconnected_;
-    if (ownLink || unconnected_ >= MostUnconnected) {
+    statechart_.handle("not_run");
+    ++connectFailures_;
+    if (ownLink || connectFailures_ >= MostUnconnected) {
         refuse({Execution::NotRun, ownLink ? Reason::QueueFull : Reason::NoEndpoint, why,
                 now + (ownLink ? ComeBackElsewhere : ComeBackSoon)});
         return;
     }
-    tryElsewhere(why);
+    retryElsewhere(why);
 }
 
-void Exchange::runAgainOrFail(const std::string &why)
+void Exchange::retryOrFail(const std::string &why)
 {
     const Instant now = std::chrono::steady_clock::now();
-    if (mayRunAgain() && context_.placement.mayRetry(service_->name, now)) {
-        position_.handle("cut");
-        tryElsewhere(why);
+    if (mayRetry() && context_.placement.mayRetry(service_->name, now)) {
+        statechart_.handle("cut");
+        retryElsewhere(why);
         return;
     }
     fail(streaming_ ? Reason::StreamCut : Reason::EndpointFailed, why, 502);
 }
 
-void Exchange::tryElsewhere(const std::string &why)
+void Exchange::retryElsewhere(const std::string &why)
 {
-    log(Event("request.repeats").with("why", why).with("behind_event", lastEvent_.value_or(0)));
+    log(Event("request.repeats").with("why", why).with("behind_event", lastEventId_.value_or(0)));
     context_.metrics.count("proxy_repeats_total");
     place();
 }
 
 void Exchange::endAttempt(bool succeeded)
 {
-    noLongerAwaitSilence();
+    disarmStallTimer();
     if (!attempt_) {
         return;
     }
     const Instant now = std::chrono::steady_clock::now();
     AttemptResult result;
     result.endpoint = attempt_->endpoint;
-    result.request = terms_.id;
+    result.request = metadata_.id;
     result.succeeded = succeeded;
-    result.tokens = eventsTold_;
+    result.tokens = forwardedEvents_;
     if (route_->kind != RouteKind::Stream) {
         result.firstToken = now - attempt_->sentAt;
     }
-    ends_.push_back(attempt_->end);
+    attemptEnds_.push_back(attempt_->outcome);
     attempt_.reset();
     context_.placement.onAttemptEnd(result, now);
 }
 
-void Exchange::dropAttempt(bool succeeded)
+void Exchange::cancelAttempt(bool succeeded)
 {
     if (attempt_) {
         attempt_->connection->cancel();
@@ -584,11 +584,11 @@
 void Exchange::refuse(Verdict verdict)
 {
     const Instant now = std::chrono::steady_clock::now();
-    if (possibleRuns_ > 0) {
+    if (possibleExecutions_ > 0) {
         fail(verdict.reason, verdict.detail, 502);
         return;
     }
-    dropAttempt(true);
+    cancelAttempt(true);
     std::optional<Interval> after;
     if (verdict.retryAt) {
         after = std::max(*verdict.retryAt - now, Interval::zero());
@@ -603,7 +603,7 @@
     context_.metrics.count("proxy_refusals_total",
                            {{"reason", std::string(reasonName(verdict.reason))}});
     const std::string body = refusalBody(verdict);
-    sink_.answer(context_.dialect.encodeRefusal(status, terms_.id, after), body);
+    sink_.sendResponse(context_.dialect.encodeRefusal(status, metadata_.id, after), body);
     finish("refuse", "refused", status);
 }
 
@@ -619,7 +619,7 @@
 
 void Exchange::fail(Reason reason, const std::string &why, int status)
 {
-    dropAttempt(false);
+    cancelAttempt(false);
     log(Event("request.failed")
                 .with("reason", reasonName(reason))
                 .with("detail", why)
@@ -629,7 +629,7 @@
         sink_.abort();
     } else {
         const Verdict verdict{Execution::MayHaveRun, reason, why, {}};
-        sink_.answer(context_.dialect.encodeRefusal(status, terms_.id, std::nullopt),
+        sink_.sendResponse(context_.dialect.encodeRefusal(status, metadata_.id, std::nullopt),
                      refusalBody(verdict));
     }
     finish("give_up", "failed", status);
@@ -640,8 +640,8 @@
     if (ended()) {
         return;
     }
-    if (possibleRuns_ > 0) {
-        noteBrokenOff(AttemptOutcome::TimedOut);
+    if (possibleExecutions_ > 0) {
+        recordLocalEnd(AttemptOutcome::TimedOut);
         fail(Reason::Timeout, "the time for this request is over", 504);
         return;
     }
@@ -649,29 +649,29 @@
             std::chrono::steady_clock::now() + ComeBackSoon});
 }
 
-void Exchange::callerGone(CallerCloseReason why, const std::string &detail)
+void Exchange::onCallerClosed(CallerCloseReason why, const std::string &detail)
 {
     if (ended() || !self_) {
         return;
     }
     log(Event("request.caller_gone")
-                .with("why", callerCloseName(why))
+                .with("why", callerCloseReasonName(why))
                 .with("detail", detail)
-                .with("passed_on", possibleRuns_ > 0)
+                .with("passed_on", possibleExecutions_ > 0)
                 .with("answering", streaming_));
-    noteBrokenOff(AttemptOutcome::Cancelled);
-    dropAttempt(true);
+    recordLocalEnd(AttemptOutcome::Cancelled);
+    cancelAttempt(true);
     finish("hang_up", "cancelled", 0);
 }
 
-void Exchange::cutOff()
+void Exchange::stop()
 {
     if (ended()) {
         return;
     }
     const std::string why = "the process ends";
-    if (possibleRuns_ > 0) {
-        noteBrokenOff(AttemptOutcome::Cancelled);
+    if (possibleExecutions_ > 0) {
+        recordLocalEnd(AttemptOutcome::Cancelled);
         fail(Reason::Draining, why, 502);
         return;
     }
@@ -679,34 +679,34 @@
             std::chrono::steady_clock::now() + ComeBackElsewhere});
 }
 
-void Exchange::noteBrokenOff(AttemptOutcome end)
+void Exchange::recordLocalEnd(AttemptOutcome outcome)
 {
     if (attempt_) {
-        attempt_->end = attempt_->connection->wasConnected() ? end : AttemptOutcome::NotConnected;
+        attempt_->outcome = attempt_->connection->wasConnected() ? outcome : AttemptOutcome::NotConnected;
     }
 }
 
 uint64_t Exchange::spentTokens() const
 {
     RequestUsage use;
-    use.promptTokens = terms_.promptTokens;
-    use.maxOutputTokens = terms_.maxOutputTokens;
+    use.promptTokens = metadata_.promptTokens;
+    use.maxOutputTokens = metadata_.maxOutputTokens;
     use.tokensPerEvent = service_->tokensPerEvent;
-    use.attempts = ends_;
-    use.eventsForwarded = eventsTold_;
-    use.nonStreamingResponseForwarded = plainAnswerTold_;
+    use.attempts = attemptEnds_;
+    use.eventsForwarded = forwardedEvents_;
+    use.nonStreamingResponseForwarded = plainResponseForwarded_;
     return tokensToCharge(use);
 }
 
 void Exchange::settle()
 {
-    if (ticket_) {
-        context_.tokens.cancel(*ticket_);
-        ticket_.reset();
+    if (tokenRequest_) {
+        context_.tokens.cancel(*tokenRequest_);
+        tokenRequest_.reset();
     }
-    if (holdsTokens_) {
-        holdsTokens_ = false;
-        context_.tokens.settle(workspace_->name, reserved_, spentTokens());
+    if (hasReservation_) {
+        hasReservation_ = false;
+        context_.tokens.settle(workspace_->name, reservedTokens_, spentTokens());
     }
 }
 
@@ -714,11 +714,11 @@
 {
     const std::shared_ptr<Exchange> self = std::move(self_);
     const Instant now = std::chrono::steady_clock::now();
-    const uint64_t spent = holdsTokens_ ? spentTokens() : 0;
+    const uint64_t spent = hasReservation_ ? spentTokens() : 0;
     settle();
     deadlineTimer_.cancel();
-    noLongerAwaitSilence();
-    position_.handle(event);
+    disarmStallTimer();
+    statechart_.handle(event);
     const Interval took = now - request_.receivedAt;
     log(Event("request.ended")
                 .with("outcome", outcome)
@@ -726,9 +726,9 @@
                 .with("route", route_ == nullptr ? std::string() : route_->name)
                 .with("workspace", workspace_ == nullptr ? WorkspaceId() : workspace_->name)
                 .with("took_ms", millis(took).count())
-                .with("events", eventsTold_)
+                .with("events", forwardedEvents_)
                 .with("tokens", spent)
-                .with("attempts", sends_)
+                .with("attempts", sendCount_)
                 .essential(spent > 0));
     context_.metrics.count("proxy_requests_total", {{"outcome", std::string(outcome)}});
     context_.metrics.observe("proxy_request_seconds", took, {{"outcome", std::string(outcome)}});
--- a/lib/Proxy/HttpConnection.cpp
+++ b/lib/Proxy/HttpConnection.cpp
@@ -20,7 +20,7 @@
 {
     request_ = std::move(request);
     observer_ = &observer;
-    headTold_ = false;
+    headDelivered_ = false;
     idleUntil_ = Never;
     reader_.emplace(settings_.limits);
     if (connected_) {
@@ -37,7 +37,7 @@
     if (error) {
         // Out of descriptors, mostly. Told later, as every end of a call is.
         asio::post(socket_.get_executor(), [self = shared_from_this(), error] {
-            self->breakCall(CallBreak::NotConnected, error.message());
+            self->failCall(CallFailure::NotConnected, error.message());
         });
         return;
     }
@@ -47,7 +47,7 @@
     connectTimer_.expires_after(settings_.connectTimeout);
     connectTimer_.async_wait([self = shared_from_this()](const ErrorCode &waited) {
         if (!waited && !self->connected_) {
-            self->breakCall(CallBreak::NotConnected, "no connection in time");
+            self->failCall(CallFailure::NotConnected, "no connection in time");
         }
     });
     socket_.async_connect(address_, [self = shared_from_this()](const ErrorCode &connected) {
@@ -62,7 +62,7 @@
     }
     connectTimer_.cancel();
     if (error) {
-        breakCall(CallBreak::NotConnected, error.message());
+        failCall(CallFailure::NotConnected, error.message());
         return;
     }
     connected_ = true;
@@ -134,8 +134,8 @@
 void HttpConnection::deliver(std::string_view bytes)
 {
     const std::size_t used = reader_->feed(bytes);
-    if (reader_->hasHead() && !headTold_) {
-        headTold_ = true;
+    if (reader_->hasHead() && !headDelivered_) {
+        headDelivered_ = true;
         observer_->onHead(reader_->head());
     }
     if (observer_ == nullptr) {
@@ -149,7 +149,7 @@
         return;
     }
     if (reader_->fault() != HttpParseError::None) {
-        breakCall(CallBreak::Sent, "not an HTTP answer");
+        failCall(CallFailure::MaybeSent, "not an HTTP answer");
         return;
     }
     if (!reader_->done()) {
@@ -183,7 +183,7 @@
             return;
         }
     }
-    breakCall(CallBreak::Sent, error.message());
+    failCall(CallFailure::MaybeSent, error.message());
 }
 
 void HttpConnection::finishCall()
@@ -199,12 +199,12 @@
     }
 }
 
-void HttpConnection::breakCall(CallBreak how, const std::string &why)
+void HttpConnection::failCall(CallFailure how, const std::string &why)
 {
     const auto self = shared_from_this();
     close();
     if (HttpCallObserver *observer = std::exchange(observer_, nullptr)) {
-        observer->onBroken(how, why);
+        observer->onFailed(how, why);
     }
 }
 
--- a/unittests/PlatformAdapter/DialectTest.cpp
+++ b/unittests/PlatformAdapter/DialectTest.cpp
@@ -67,7 +67,7 @@
 {
     const platform::PlatformDialect dialect;
     const RequestMetadata terms = dialect.decodeCaller(callerHead({GetParam().field}));
-    EXPECT_FALSE(terms.countsTokens);
+    EXPECT_FALSE(terms.hasTokenCounts);
     EXPECT_TRUE(terms.key.empty());
     EXPECT_TRUE(terms.prompt.empty());
     EXPECT_FALSE(terms.lastEventId);
@@ -112,10 +112,10 @@
                    {"Content-Type", "text/event-stream; charset=utf-8"}};
     const ResponseMetadata terms = dialect.decodeResponse(head);
     EXPECT_TRUE(terms.notExecuted);
-    EXPECT_EQ(terms.echoedId, RequestId("r"));
-    EXPECT_EQ(terms.keptOpenFor, std::chrono::seconds(7));
-    EXPECT_TRUE(terms.eventStream);
-    EXPECT_FALSE(terms.signedByEndpoint);
+    EXPECT_EQ(terms.requestId, RequestId("r"));
+    EXPECT_EQ(terms.keepAliveTimeout, std::chrono::seconds(7));
+    EXPECT_TRUE(terms.isEventStream);
+    EXPECT_FALSE(terms.hasSignature);
     head.status = 421;
     head.fields.clear();
     EXPECT_TRUE(dialect.decodeResponse(head).notExecuted);
