--- a/include/sequoiagate/Proxy/CallerCloseReason.h
+++ b/include/sequoiagate/Proxy/CallerCloseReason.h
@@ -1,23 +1,23 @@
 #ifndef SEQUOIAGATE_PROXY_CALLERCLOSEREASON_H
 #define SEQUOIAGATE_PROXY_CALLERCLOSEREASON_H
 
-/// Why a caller's connection was closed, for logs and metrics.
+/// The reason why a caller's connection was closed, for logs and metrics.
 
 #include <string_view>
 
 namespace sequoiagate {
 
 enum class CallerCloseReason {
-    Answered,    ///< behind an answer that says so
-    PeerClosed,  ///< the caller closed it
-    ReadFailed,  ///< reset, or lost otherwise
-    WriteFailed, ///< reset, or lost otherwise
-    Idle,        ///< no request came within the idle limit
-    Drained,     ///< it waited for a request while callers were sent away
-    StopForced,  ///< the time for a planned stop was over
+    Answered,    ///< after a response with "Connection: close"
+    PeerClosed,  ///< the caller closed the connection
+    ReadFailed,  ///< a read failed, e.g. by a reset
+    WriteFailed, ///< a write failed, e.g. by a reset
+    Idle,        ///< no request arrived within the idle timeout
+    Drained,     ///< idle while the process drains or sheds connections
+    StopForced,  ///< closed by force when the process stops
 };
 
-std::string_view callerCloseReasonName(CallerCloseReason why);
+std::string_view callerCloseReasonName(CallerCloseReason reason);
 
 } // namespace sequoiagate
 
--- a/include/sequoiagate/Proxy/CallerConnection.h
+++ b/include/sequoiagate/Proxy/CallerConnection.h
@@ -1,10 +1,10 @@
 #ifndef SEQUOIAGATE_PROXY_CALLERCONNECTION_H
 #define SEQUOIAGATE_PROXY_CALLERCONNECTION_H
 
-/// A caller's connection: reads its requests one after another, and writes each answer.
+/// A caller's connection: reads requests one after another and writes the responses.
 ///
-/// It goes on reading while a request is being served. A caller that leaves is noticed at
-/// once, so that its endpoint's work ends; what it pipelines is kept until its turn.
+/// It keeps reading while a request is being served, so that a disconnect is noticed at once
+/// and the endpoint's work can be cancelled. Pipelined requests are buffered.
 
 #include <array>
 #include <deque>
@@ -29,14 +29,15 @@
 public:
     using ClosedHandler = std::function<void(const std::shared_ptr<CallerConnection> &)>;
 
-    CallerConnection(ProxyContext &context, boost::asio::ip::tcp::socket socket, ClosedHandler closed);
+    CallerConnection(ProxyContext &context, boost::asio::ip::tcp::socket socket,
+                     ClosedHandler closed);
 
     void start();
-    /// Closes the connection if it waits for a request; else its answer says that it closes.
+    /// Closes the connection if it is idle; otherwise the response announces the close.
     void drain();
-    /// Ends an open request and closes the connection behind what its caller is told.
+    /// Ends an open request with an error response and closes the connection after it.
     void stop();
-    /// Closes it whatever it does.
+    /// Closes the connection at once, whatever its state.
     void forceClose();
     bool serving() const { return exchange_ != nullptr; }
 
@@ -55,38 +56,39 @@
     void onRead(const ErrorCode &error, std::size_t bytes);
     void readRequest();
     void beginExchange();
-    /// The error with which the caller's connection has ended, if that is known already.
+    /// Checks without reading whether the peer has closed or reset the connection.
+    /// \returns the error, or no error while the connection is open.
     ErrorCode peekCloseError();
     void onPeerClosed(const ErrorCode &error);
-    void refuseRequest(HttpParseError fault);
+    void refuseRequest(HttpParseError error);
     void onResponseQueued(bool keepAlive);
-    /// Says for how long an idle connection may be used again, if it is kept.
+    /// Adds a Keep-Alive field with the idle timeout if the connection stays open.
     void addKeepAliveField(ResponseHead &head) const;
     void awaitNextRequest();
     void armTimer(Interval limit);
     void onTimer();
     void queue(std::string bytes);
     void write();
-    void close(CallerCloseReason why, const ErrorCode &error = ErrorCode());
+    void close(CallerCloseReason reason, const ErrorCode &error = ErrorCode());
 
     ProxyContext &context_;
     boost::asio::ip::tcp::socket socket_;
     ClosedHandler closed_;
     DeadlineTimer timer_;
     std::array<char, 8192> readBuffer_;
-    std::string unparsed_; ///< received, not yet a request
+    std::string unparsed_; ///< received bytes that aren't parsed yet
     std::optional<RequestReader> reader_;
     std::string body_;
     Instant requestStartedAt_{};
     std::shared_ptr<Exchange> exchange_;
     std::deque<std::string> outgoing_;
     std::size_t backlog_ = 0;
-    bool isNew_ = true; ///< no request has been waited for
+    bool isNew_ = true; ///< awaitNextRequest hasn't been called yet
     bool reading_ = false;
     bool writing_ = false;
     bool keepAlive_ = true;
     bool closeWhenWritten_ = false;
-    bool lingering_ = false; ///< all is written; the peer is given time to read it
+    bool lingering_ = false; ///< everything is written; waits for the peer to close
     bool isClosed_ = false;
 };
 
--- a/include/sequoiagate/Proxy/Dialect.h
+++ b/include/sequoiagate/Proxy/Dialect.h
@@ -1,9 +1,9 @@
 #ifndef SEQUOIAGATE_PROXY_DIALECT_H
 #define SEQUOIAGATE_PROXY_DIALECT_H
 
-/// The headers by which callers, this program and endpoints tell each other about a
-/// request, decoded into what they mean. Each platform has its own names for them; an
-/// implementation translates and decides nothing.
+/// Translation between HTTP header fields and the request metadata that callers, this program
+/// and endpoints exchange. Header names differ between platforms; an implementation only
+/// translates and makes no decisions.
 
 #include <cstdint>
 #include <optional>
@@ -17,66 +17,66 @@
 
 namespace sequoiagate {
 
-/// A part of a prompt that other requests may share.
+/// A segment of a prompt that may be shared with other requests.
 struct PromptPart
 {
     uint64_t id = 0;
     uint64_t tokens = 0;
 };
 
-/// What a caller says of its request.
+/// Metadata of a request, decoded from the caller's header fields.
 struct RequestMetadata
 {
     RequestId id;
     std::string key;
-    Interval timeout = std::chrono::seconds(30); ///< how long it waits for the answer
+    Interval timeout = std::chrono::seconds(30); ///< how long the caller waits for the response
     uint64_t promptTokens = 0;
-    uint64_t maxOutputTokens = 0; ///< at most
-    bool hasTokenCounts = false;    ///< the two above were sent
+    uint64_t maxOutputTokens = 0;
+    bool hasTokenCounts = false; ///< whether the caller sent the two above
     std::vector<PromptPart> prompt;
-    std::optional<uint64_t> lastEventId; ///< it goes on behind this one
+    std::optional<uint64_t> lastEventId; ///< the stream resumes after this event
 };
 
-/// What an endpoint is told beside what the caller sent.
+/// Metadata that is added to the request forwarded to an endpoint.
 struct ForwardMetadata
 {
     Interval timeout{};
     EndpointId endpoint;
-    WorkspaceId workspace; ///< empty where the route needs no key
-    uint32_t priority = 5;  ///< 0 is the most urgent
-    bool sendPriority = false;
-    std::optional<uint64_t> resumeAfter; ///< the last event that the caller has
+    WorkspaceId workspace;               ///< empty if the route requires no API key
+    uint32_t priority = 5;               ///< 0 is the highest
+    bool sendPriority = false;           ///< whether the endpoint gets the priority
+    std::optional<uint64_t> resumeAfter; ///< the last event that the caller received
 };
 
-/// What an endpoint's answer says beside its body.
+/// Metadata of an endpoint's response, decoded from its header fields.
 struct ResponseMetadata
 {
     RequestId requestId;
-    bool notExecuted = false;            ///< the endpoint says that it did not run the request
-    std::optional<Interval> keepAliveTimeout; ///< it closes an idle connection after this
+    bool notExecuted = false; ///< the endpoint reports that it didn't run the request
+    std::optional<Interval> keepAliveTimeout; ///< the endpoint closes idle connections after this
     bool isEventStream = false;
-    bool hasContentEncoding = false; ///< its body isn't the endpoint's own bytes
+    bool hasContentEncoding = false; ///< the body was transformed on the way
     bool hasSignature = false;
 };
 
-/// Immutable, so thread safe.
+/// Immutable and therefore thread-safe.
 class Dialect
 {
 public:
     virtual ~Dialect() = default;
 
     virtual RequestMetadata decodeCaller(const RequestHead &head) const = 0;
-    /// The head for the endpoint: the caller's, without what concerns the caller's
-    /// connection and without what only this program may say.
+    /// Returns the request head for the endpoint: the caller's without hop-by-hop fields and
+    /// without fields that only this program may set.
     virtual RequestHead encodeForward(const RequestHead &caller,
                                       const ForwardMetadata &terms) const = 0;
     virtual ResponseMetadata decodeResponse(const ResponseHead &head) const = 0;
-    /// The head for the caller of an endpoint's answer.
+    /// Returns the response head for the caller, made from the endpoint's.
     virtual ResponseHead encodeResponse(const ResponseHead &endpoint) const = 0;
-    /// The head of this program's own answer to a request that it didn't serve.
-    /// \param comeBackAfter when asking again makes sense
+    /// Returns the head of a response that this program generates for a request that it
+    /// refuses. \param retryAfter how long the caller should wait before a retry
     virtual ResponseHead encodeRefusal(int status, const RequestId &id,
-                                       std::optional<Interval> comeBackAfter) const = 0;
+                                       std::optional<Interval> retryAfter) const = 0;
 };
 
 } // namespace sequoiagate
--- a/include/sequoiagate/Proxy/EventSplitter.h
+++ b/include/sequoiagate/Proxy/EventSplitter.h
@@ -1,9 +1,9 @@
 #ifndef SEQUOIAGATE_PROXY_EVENTSPLITTER_H
 #define SEQUOIAGATE_PROXY_EVENTSPLITTER_H
 
-/// Cuts the bytes of an event stream into whole events. An endpoint may stop in the middle
-/// of one: what isn't whole is never passed on, or another endpoint's events would be
-/// joined to half of one.
+/// Splits the bytes of an event stream into complete events. An endpoint may stop inside an
+/// event. Partial events are never forwarded, since events of another endpoint would
+/// otherwise be appended to them.
 
 #include <cstdint>
 #include <optional>
@@ -15,20 +15,20 @@
 
 struct StreamEvent
 {
-    std::string bytes;          ///< as they came, the blank line included
-    std::optional<uint64_t> id; ///< of its "id" line
+    std::string bytes;          ///< unchanged, including the blank line
+    std::optional<uint64_t> id; ///< value of the "id" field
 };
 
-/// Not thread safe.
+/// Not thread-safe.
 class EventSplitter
 {
 public:
-    /// An event larger than this is a fault of the endpoint.
+    /// A larger event is treated as an error of the endpoint.
     static constexpr std::size_t MaxEventBytes = 256 * 1024;
 
-    /// \returns the events that \p bytes make whole.
+    /// \returns the events that are completed by \p bytes.
     std::vector<StreamEvent> feed(std::string_view bytes);
-    /// Bytes of an event that isn't whole.
+    /// Number of buffered bytes of an incomplete event.
     std::size_t pending() const { return pending_.size(); }
     bool overflowed() const { return pending_.size() > MaxEventBytes; }
 
--- a/include/sequoiagate/Proxy/Exchange.h
+++ b/include/sequoiagate/Proxy/Exchange.h
@@ -1,16 +1,18 @@
 #ifndef SEQUOIAGATE_PROXY_EXCHANGE_H
 #define SEQUOIAGATE_PROXY_EXCHANGE_H
 
-/// One request of a caller, from its reading to the end of its answer: route, key, tokens,
-/// endpoint, answer; and what is done when one of them fails.
+/// One request of a caller, from its receipt to the end of its response: finds the route,
+/// checks the API key, reserves tokens, selects an endpoint, forwards the response and handles
+/// failures of each step.
 ///
-/// What always holds here:
-/// - A request that may not be repeated is sent once. It is called "not run" only if no
-///   byte of it left, or the endpoint said that it didn't run it.
-/// - An answer is passed on as the endpoint's only if it bears the request's id. A plain
-///   one is passed on whole; a stream event by event, and its end only if it was seen.
-/// - When the caller leaves, the endpoint's connection is closed, which ends its work.
-/// - At its route's timeout or its caller's patience a request is answered at that moment.
+/// Invariants:
+/// - A non-idempotent request is sent once. It is reported as "not run" only if no byte of it
+///   was sent, or the endpoint reported that it didn't run it.
+/// - A response is forwarded as the endpoint's only if it carries the request's id. A
+///   non-streaming response is forwarded completely, a stream event by event and its end only
+///   if the endpoint ended it.
+/// - When the caller disconnects, the endpoint's connection is closed, which cancels its work.
+/// - When the route's or the caller's timeout expires, the request is answered at once.
 
 #include <memory>
 #include <optional>
@@ -29,7 +31,7 @@
 
 namespace sequoiagate {
 
-/// A request as it was read.
+/// A request as received from the caller.
 struct CallerRequest
 {
     RequestHead head;
@@ -37,25 +39,28 @@
     Instant receivedAt;
 };
 
-/// Single-threaded. Keeps itself alive until it has ended.
+/// Single-threaded. Keeps itself alive until the request has ended.
 class Exchange : public std::enable_shared_from_this<Exchange>, private HttpCallObserver
 {
 public:
-    /// \pre context and sink outlive the exchange, or onCallerClosed is called before the sink goes.
+    /// \pre context and sink outlive the exchange, or onCallerClosed is called before the sink is
+    /// destroyed.
     Exchange(ProxyContext &context, CallerRequest request, ResponseSink &sink);
     ~Exchange() override;
 
     void start();
-    /// The caller's connection is closed. \param detail the error, if there was one
-    void onCallerClosed(CallerCloseReason why, const std::string &detail);
-    /// Ends it at once, since the process ends, and tells its caller whether it may have run.
+    /// Called when the caller's connection is closed. \param detail the error, if any
+    void onCallerClosed(CallerCloseReason reason, const std::string &detail);
+    /// Ends the request at once because the process stops, and reports to the caller whether it
+    /// may have run.
     void stop();
-    /// The caller took bytes: more may be read from the endpoint.
+    /// Called when bytes were written to the caller, so that reading from the endpoint may
+    /// resume.
     void onBacklogReduced();
     bool ended() const { return statechart_.isFinished(); }
 
 private:
-    /// One sending to one endpoint.
+    /// One attempt: the request sent to one endpoint.
     struct Attempt
     {
         Attempt(EndpointId to, Instant at) : endpoint(std::move(to)), sentAt(at) {}
@@ -67,10 +72,10 @@
         ResponseHead head;
         std::string body;
         EventSplitter splitter;
-        bool isSuccess = false; ///< a good answer's head has come
+        bool isSuccess = false; ///< the head of a successful response was received
         bool hasFirstEvent = false;
-        bool passThrough = false; ///< a plain answer too large to be held
-        /// How it counts if it ends now. An end that nobody told counts as a cut.
+        bool passThrough = false; ///< a non-streaming response too large to buffer
+        /// The outcome if the attempt ends now. Without a known cause it is a lost connection.
         AttemptOutcome outcome = AttemptOutcome::ConnectionLost;
     };
 
@@ -79,14 +84,14 @@
     void reserveTokens();
     void onReserved(std::optional<Verdict> refusal);
     void place();
-    void send(const PlacementTarget &placed);
+    void send(const PlacementTarget &target);
     RequestHead forwardHead(Instant now, const EndpointId &endpoint) const;
 
-    // ---- what comes back ----
+    // ---- response ----
     void onHead(const ResponseHead &head) override;
     void onBody(std::string_view bytes) override;
     void onDone() override;
-    void onFailed(CallFailure how, const std::string &why) override;
+    void onFailed(CallFailure failure, const std::string &detail) override;
     void onStreamBytes(std::string_view bytes);
     bool forwardEvent(const StreamEvent &event);
     void beginStream();
@@ -95,15 +100,16 @@
     void endAttempt(bool succeeded);
     void cancelAttempt(bool succeeded);
 
-    // ---- what is done about a failure ----
+    // ---- failure handling ----
     bool mayRetry() const;
-    void onNotConnected(const std::string &why, Instant now);
-    void retryOrFail(const std::string &why);
-    void retryElsewhere(const std::string &why);
+    void onNotConnected(const std::string &detail, Instant now);
+    void retryOrFail(const std::string &detail);
+    void retryElsewhere(const std::string &detail);
     void refuse(Verdict verdict);
-    /// Refuses what the configuration doesn't allow; only for now if it may be out of date.
-    void refuseByConfig(Reason reason, const std::string &why);
-    void fail(Reason reason, const std::string &why, int status);
+    /// Refuses a request that the configuration doesn't allow. If the configuration may be out
+    /// of date, the refusal is a temporary one.
+    void refuseByConfig(Reason reason, const std::string &detail);
+    void fail(Reason reason, const std::string &detail, int status);
     void onDeadline();
     void onStalled();
     void setStallTimeout(Interval limit);
@@ -113,7 +119,7 @@
     void finish(std::string_view event, std::string_view outcome, int status);
     void settle();
     uint64_t spentTokens() const;
-    /// Notes that the open attempt, if any, is broken off by this side.
+    /// Records the outcome of the open attempt, if any, when this side aborts it.
     void recordLocalEnd(AttemptOutcome outcome);
     WorkItem workItem() const;
     Interval remaining(Instant now) const;
@@ -131,22 +137,22 @@
     Instant deadline_ = Never;
     boost::asio::steady_timer deadlineTimer_;
     DeadlineTimer stallTimer_;
-    Instant stallDeadline_ = Never; ///< the endpoint counts as silent then
+    Instant stallDeadline_ = Never; ///< when the endpoint counts as stalled
     bool stallTimerArmed_ = false;
     std::optional<TokenRequestId> tokenRequest_;
     uint64_t reservedTokens_ = 0;
     bool hasReservation_ = false;
     std::optional<Attempt> attempt_;
     std::vector<EndpointId> triedEndpoints_;
-    uint32_t sendCount_ = 0;        ///< endpoints that a byte of it was, or may have been, sent to
-    uint32_t connectFailures_ = 0;  ///< endpoints that it could not connect to
-    uint32_t possibleExecutions_ = 0; ///< of these, that may have begun to run it
-    std::vector<AttemptOutcome> attemptEnds_; ///< of all attempts but an open one
-    bool streaming_ = false;           ///< the caller has the head of a stream
-    bool plainResponseForwarded_ = false;     ///< of a success, whole or in part
+    uint32_t sendCount_ = 0;          ///< attempts of which a byte was or may have been sent
+    uint32_t connectFailures_ = 0;    ///< endpoints that couldn't be connected to
+    uint32_t possibleExecutions_ = 0; ///< attempts that may have started to run the request
+    std::vector<AttemptOutcome> attemptOutcomes_; ///< outcomes of the finished attempts
+    bool streaming_ = false;                      ///< the head of a stream was sent to the caller
+    bool plainResponseForwarded_ = false;         ///< a success, completely or in part
     uint64_t forwardedEvents_ = 0;
     std::optional<uint64_t> lastEventId_;
-    std::shared_ptr<Exchange> self_; ///< while it is open
+    std::shared_ptr<Exchange> self_; ///< set while the request is open
 };
 
 } // namespace sequoiagate
--- a/include/sequoiagate/Proxy/HttpConnection.h
+++ b/include/sequoiagate/Proxy/HttpConnection.h
@@ -1,12 +1,12 @@
 #ifndef SEQUOIAGATE_PROXY_HTTPCONNECTION_H
 #define SEQUOIAGATE_PROXY_HTTPCONNECTION_H
 
-/// A connection to an HTTP server, kept for many calls, one at a time; used for endpoints
-/// and for the store alike.
+/// A keep-alive connection to an HTTP server for any number of calls, one at a time. It is
+/// used for endpoints and for the store.
 ///
-/// It reads all the while, also between calls: a server's close is seen before the next
-/// request is written to a dead connection, and bytes that come between calls (a second
-/// answer, a late one) end the connection instead of becoming the next call's answer.
+/// It also reads between calls. A close by the server is thus noticed before the next request
+/// is written, and bytes that arrive between calls (a second or late response) close the
+/// connection instead of being read as the next call's response.
 
 #include <array>
 #include <chrono>
@@ -27,14 +27,14 @@
 
 namespace sequoiagate {
 
-/// How far a call had come when its connection was lost.
+/// How far a call had got when its connection was lost.
 enum class CallFailure {
-    NotConnected, ///< no byte left
-    MaybeSent,         ///< a part of the request may have arrived
+    NotConnected, ///< no byte was sent
+    MaybeSent,    ///< a part of the request may have arrived
 };
 
-/// Receives what becomes of one call. Each call ends with exactly one of onDone and
-/// onFailed, unless it is cancelled. Any method may cancel the call.
+/// Receives the events of one call. Each call ends with exactly one of onDone and onFailed,
+/// unless it is cancelled. Any method may cancel the call.
 class HttpCallObserver
 {
 public:
@@ -42,17 +42,18 @@
     virtual void onSent() {}
     virtual void onHead(const ResponseHead &head) = 0;
     virtual void onBody(std::string_view bytes) = 0;
-    /// The whole answer has come.
+    /// The response is complete.
     virtual void onDone() = 0;
-    virtual void onFailed(CallFailure how, const std::string &why) = 0;
+    virtual void onFailed(CallFailure failure, const std::string &reason) = 0;
 };
 
 struct HttpConnectionSettings
 {
-    /// For the connection to stand; then it counts as unreachable. A round trip between
-    /// failure domains is some milliseconds; a lost opening packet is sent again after 1 s.
+    /// Time to establish a connection; after it the server counts as unreachable. A round trip
+    /// between failure domains takes some milliseconds; a lost SYN is retransmitted after 1 s.
     Interval connectTimeout = std::chrono::milliseconds(400);
-    /// For sent bytes to be acknowledged, or the peer counts as lost (TCP_USER_TIMEOUT).
+    /// Time for sent bytes to be acknowledged; after it the peer counts as lost
+    /// (TCP_USER_TIMEOUT).
     std::chrono::milliseconds unacknowledgedTimeout{1500};
     HttpReaderLimits limits;
 };
@@ -68,22 +69,22 @@
     std::function<void(HttpConnection &)> onIdleLost;
     std::function<void(const std::shared_ptr<HttpConnection> &)> onIdle;
 
-    /// Sends \p request (head and body) and tells \p observer what comes back, connecting
-    /// first if need be. \pre no call is open.
+    /// Sends \p request (head and body) and reports the response to \p observer. Connects
+    /// first if necessary. \pre no call is open.
     void call(std::string request, HttpCallObserver &observer);
-    /// Ends the open call, if any, and the connection: a server drops the work whose
-    /// connection closes. The observer hears nothing more.
+    /// Aborts the open call, if any, and closes the connection, upon which a server cancels the
+    /// work. The observer isn't called any more.
     void cancel();
-    /// Stops reading until resumeReading: the caller's side takes the bytes more slowly.
+    /// Stops reading until resumeReading, for backpressure from a slower caller.
     void pauseReading() { readingPaused_ = true; }
     void resumeReading();
 
     const boost::asio::ip::tcp::endpoint &address() const { return address_; }
     bool usable() const { return connected_ && !closed_; }
-    /// Whether it ever stood, closed or not. Until then no byte of a call has left.
+    /// Whether it was ever established, closed or not. Before that no byte of a call was sent.
     bool wasConnected() const { return connected_; }
     Instant idleSince() const { return idleSince_; }
-    /// When the server said it would close it.
+    /// When the connection mustn't be reused any more, since the server announced its close.
     Instant idleUntil() const { return idleUntil_; }
     void setIdleUntil(Instant until) { idleUntil_ = until; }
 
@@ -98,7 +99,7 @@
     void deliver(std::string_view bytes);
     void onEndOfStream(const ErrorCode &error);
     void finishCall();
-    void failCall(CallFailure how, const std::string &why);
+    void failCall(CallFailure failure, const std::string &reason);
     void close();
 
     boost::asio::ip::tcp::endpoint address_;
--- a/include/sequoiagate/Proxy/HttpReader.h
+++ b/include/sequoiagate/Proxy/HttpReader.h
@@ -1,8 +1,8 @@
 #ifndef SEQUOIAGATE_PROXY_HTTPREADER_H
 #define SEQUOIAGATE_PROXY_HTTPREADER_H
 
-/// Reads one HTTP/1.1 message out of the bytes of a connection, by Boost.Beast's parser.
-/// The body comes decoded, piece by piece.
+/// Incremental reader for one HTTP/1.1 message, based on Boost.Beast's parser. The body is
+/// returned decoded, in pieces.
 
 #include <cstdint>
 #include <string>
@@ -23,16 +23,16 @@
     std::uint64_t bodyBytes = 8 * 1024 * 1024;
 };
 
-/// Why a message can't be read.
+/// Why a message couldn't be parsed.
 enum class HttpParseError {
     None,
     Malformed,
     HeaderTooLarge,
     BodyTooLarge,
-    Truncated, ///< the connection ended before the message did
+    Truncated, ///< the connection ended inside the message
 };
 
-/// Not thread safe. One object a message.
+/// Not thread-safe. Each object reads one message.
 template <bool IsRequest>
 class HttpReader : private boost::beast::http::basic_parser<IsRequest>
 {
@@ -41,12 +41,14 @@
 
     explicit HttpReader(HttpReaderLimits limits);
 
-    /// Reads on. \returns how many bytes belong to this message; the rest is the next one's.
+    /// Parses \p bytes. \returns how many of them belong to this message; the rest belongs to
+    /// the next one.
     std::size_t feed(std::string_view bytes);
-    /// The peer closed its end in order: the message may end here (RFC 9112, 6.3), or is cut off.
+    /// Signals an orderly close by the peer, which completes the message (RFC 9112, 6.3) or
+    /// truncates it.
     void feedEnd();
 
-    /// A part of a message has been seen.
+    /// Whether a part of the message has been received.
     bool begun() const { return begun_; }
     bool hasHead() const { return hasHead_; }
     bool done() const { return done_; }
@@ -54,13 +56,13 @@
     /// \pre hasHead()
     const Head &head() const { return head_; }
     Head &head() { return head_; }
-    /// What came of the body since the last call.
+    /// Returns the body bytes received since the last call.
     std::string takeBody() { return std::exchange(body_, std::string()); }
-    /// The body ends with the connection: neither a length nor chunks frame it.
+    /// Whether the body is framed by the end of the connection only.
     bool endsWithConnection() const { return hasHead_ && this->need_eof(); }
 
 private:
-    static std::size_t emptyLines(std::string_view bytes);
+    static std::size_t leadingEmptyLines(std::string_view bytes);
     std::size_t parse(std::string_view bytes);
     using Base = boost::beast::http::basic_parser<IsRequest>;
     using ErrorCode = boost::beast::error_code;
@@ -81,7 +83,7 @@
 
     Head head_;
     std::string body_;
-    std::string leftover_; ///< the start of a head or chunk line that isn't whole yet
+    std::string leftover_; ///< incomplete head or chunk line
     bool begun_ = false;
     bool hasHead_ = false;
     bool done_ = false;
--- a/include/sequoiagate/Proxy/ProxyContext.h
+++ b/include/sequoiagate/Proxy/ProxyContext.h
@@ -1,7 +1,7 @@
 #ifndef SEQUOIAGATE_PROXY_PROXYCONTEXT_H
 #define SEQUOIAGATE_PROXY_PROXYCONTEXT_H
 
-/// What forwarding needs of the rest of the program.
+/// Interfaces and state that the proxy uses from the rest of the program.
 
 #include <cstdint>
 #include <functional>
@@ -29,7 +29,7 @@
 
 namespace sequoiagate {
 
-/// Where a request goes.
+/// The endpoint chosen for a request.
 struct PlacementTarget
 {
     EndpointId endpoint;
@@ -39,43 +39,43 @@
 
 using PlacementResult = std::variant<PlacementTarget, Verdict>;
 
-/// Chooses endpoints, and hears how requests fared there. Single-threaded.
+/// Selects endpoints and is notified of the outcome of requests there. Single-threaded.
 class Placement
 {
 public:
     virtual ~Placement() = default;
-    /// \param tried endpoints that this request isn't sent to again
+    /// \param tried endpoints that were already attempted and aren't used again
     virtual PlacementResult place(const WorkItem &item, const std::vector<PromptPart> &prompt,
                                   const std::vector<EndpointId> &tried, Instant now) = 0;
     virtual void onSent(const EndpointId &endpoint, const WorkItem &item, Instant now) = 0;
     virtual void onFirstToken(const EndpointId &endpoint, const RequestId &request,
                               Instant now) = 0;
     virtual void onAttemptEnd(const AttemptResult &result, Instant now) = 0;
-    /// Another endpoint has the address, or none: the entry is out of date.
+    /// The directory entry is out of date: the address belongs to another endpoint or to none.
     virtual void onStaleEndpoint(const EndpointId &endpoint, Instant now) = 0;
-    /// Whether the service may be sent one more repeat.
+    /// Whether the retry budget of \p service allows one more retry.
     virtual bool mayRetry(const ServiceId &service, Instant now) = 0;
     virtual void onRequest(const ServiceId &service, Instant now) = 0;
 };
 
-/// Tokens of a request that waits for them; the number tells waits apart.
+/// Identifies a pending token reservation.
 using TokenRequestId = uint64_t;
 
-/// Reserves workspaces' tokens. Single-threaded.
+/// Reserves tokens of workspaces. Single-threaded.
 class TokenReservations
 {
 public:
     virtual ~TokenReservations() = default;
-    /// Calls \p handler, also from inside this call, with nothing when the tokens are
-    /// reserved, or with why they can't be had.
+    /// Calls \p handler, possibly from inside this call, with std::nullopt when the tokens are
+    /// reserved, or with the verdict that refuses them.
     virtual TokenRequestId reserve(const WorkspaceId &workspace, uint64_t tokens, Instant deadline,
                                    std::function<void(std::optional<Verdict>)> handler) = 0;
-    /// The request no longer waits; its handler isn't called.
+    /// Cancels a pending reservation; its handler isn't called.
     virtual void cancel(TokenRequestId ticket) = 0;
     virtual void settle(const WorkspaceId &workspace, uint64_t reserved, uint64_t spent) = 0;
 };
 
-/// All of it outlives the connections that use it.
+/// All members outlive the connections that use them.
 struct ProxyContext
 {
     boost::asio::io_context &io;
@@ -87,11 +87,12 @@
     LinkLoad &link;
     EventLog &log;
     Metrics &metrics;
-    std::function<ServingConfigPtr()> config; ///< nullptr until one is known
-    /// Whether a newer configuration would be known by now: what an older one doesn't allow may
-    /// be allowed meanwhile.
+    std::function<ServingConfigPtr()> config; ///< nullptr until one is loaded
+    /// Whether the configuration is up to date. A newer one may allow what an outdated one
+    /// doesn't.
     std::function<bool()> configIsCurrent;
-    /// Whether callers are to go elsewhere, since the process stops or its link is full.
+    /// Whether callers are to reconnect to another host, since the process stops or its link is
+    /// saturated.
     std::function<bool()> shouldShedConnections;
 };
 
--- a/include/sequoiagate/Proxy/ResponseSink.h
+++ b/include/sequoiagate/Proxy/ResponseSink.h
@@ -1,7 +1,7 @@
 #ifndef SEQUOIAGATE_PROXY_RESPONSESINK_H
 #define SEQUOIAGATE_PROXY_RESPONSESINK_H
 
-/// The caller's side of one exchange.
+/// Interface through which an exchange sends its response to the caller.
 
 #include <string>
 #include <string_view>
@@ -10,19 +10,20 @@
 
 namespace sequoiagate {
 
-/// Single-threaded. Of answer, endStream and abort exactly one ends the exchange.
+/// Single-threaded. Each exchange ends with exactly one call of sendResponse, endStream or
+/// abort.
 class ResponseSink
 {
 public:
     virtual ~ResponseSink() = default;
-    /// A whole answer.
+    /// Sends a complete response.
     virtual void sendResponse(ResponseHead head, std::string_view body) = 0;
     virtual void beginStream(ResponseHead head) = 0;
     virtual void streamData(std::string_view bytes) = 0;
     virtual void endStream() = 0;
-    /// Closes the caller's connection, so that what it has doesn't look complete.
+    /// Closes the caller's connection, so that a partial response doesn't look complete.
     virtual void abort() = 0;
-    /// Bytes that the caller hasn't taken yet.
+    /// Bytes that are queued and not yet written to the caller's socket.
     virtual std::size_t backlog() const = 0;
 };
 
--- a/lib/Proxy/CallerCloseReason.cpp
+++ b/lib/Proxy/CallerCloseReason.cpp
@@ -6,7 +6,7 @@
 
 struct CloseName
 {
-    CallerCloseReason why;
+    CallerCloseReason reason;
     std::string_view name;
 };
 
@@ -22,10 +22,10 @@
 
 } // namespace
 
-std::string_view callerCloseReasonName(CallerCloseReason why)
+std::string_view callerCloseReasonName(CallerCloseReason reason)
 {
     for (const CloseName &row : CloseNames) {
-        if (row.why == why) {
+        if (row.reason == reason) {
             return row.name;
         }
     }
--- a/lib/Proxy/CallerConnection.cpp
+++ b/lib/Proxy/CallerConnection.cpp
@@ -14,22 +14,22 @@
 
 namespace {
 
-/// Bytes of further requests kept while one is served; beyond it the caller isn't read,
-/// and its leaving isn't noticed until its turn.
-constexpr std::size_t MostPipelinedBytes = 256 * 1024;
+/// Maximum bytes of pipelined requests that are buffered while one is served. Beyond it the
+/// connection isn't read, and a disconnect isn't noticed until the request has ended.
+constexpr std::size_t MaxPipelinedBytes = 256 * 1024;
 
-/// About the size of a request's head, for the link's load.
+/// Approximate size of a request's head, for accounting the link's load.
 constexpr uint64_t HeadBytes = 500;
 
-/// For a caller to send the rest of a body once its head is in.
+/// Time for a caller to send the body after the head has been received.
 constexpr Interval BodyTimeout = std::chrono::seconds(10);
 
-/// What callers are told is shorter than the idle limit by this: a request on its way must not
-/// cross the close.
+/// The advertised Keep-Alive timeout is shorter than the idle timeout by this margin, so that
+/// a request in flight doesn't meet the close of the connection.
 constexpr Interval IdleMargin = std::chrono::seconds(2);
 
-/// Closing a socket that has unread bytes resets it, and the peer may lose the answer
-/// before it has read it: it is given this long to close first.
+/// Closing a socket with unread bytes resets the connection, and the peer may lose a response
+/// that it hasn't read yet. The peer gets this long to close first.
 constexpr Interval LingerTime = std::chrono::milliseconds(500);
 
 CallerLimits limitsOf(const ProxyContext &context)
@@ -38,30 +38,30 @@
     return config ? config->limits : CallerLimits();
 }
 
-RequestReader makeReader(const ProxyContext &context)
+RequestReader makeRequestReader(const ProxyContext &context)
 {
     const CallerLimits limits = limitsOf(context);
     return RequestReader({limits.maxHeaderBytes, limits.maxBodyBytes});
 }
 
-struct FaultStatus
+struct ErrorStatus
 {
-    HttpParseError fault;
+    HttpParseError error;
     int status;
-    bool byConfig; ///< another configuration may allow it
+    bool byConfig; ///< a limit of the configuration; a newer one may allow it
 };
 
-constexpr FaultStatus FaultStatuses[] = {{HttpParseError::HeaderTooLarge, 431, true},
+constexpr ErrorStatus ErrorStatuses[] = {{HttpParseError::HeaderTooLarge, 431, true},
                                          {HttpParseError::BodyTooLarge, 413, true}};
 
-FaultStatus statusOf(HttpParseError fault)
+ErrorStatus statusOf(HttpParseError error)
 {
-    for (const FaultStatus &row : FaultStatuses) {
-        if (row.fault == fault) {
+    for (const ErrorStatus &row : ErrorStatuses) {
+        if (row.error == error) {
             return row;
         }
     }
-    return {fault, 400, false};
+    return {error, 400, false};
 }
 
 } // namespace
@@ -81,7 +81,7 @@
 
 void CallerConnection::read()
 {
-    if (reading_ || isClosed_ || unparsed_.size() > MostPipelinedBytes) {
+    if (reading_ || isClosed_ || unparsed_.size() > MaxPipelinedBytes) {
         return;
     }
     reading_ = true;
@@ -106,7 +106,7 @@
         return;
     }
     unparsed_.append(readBuffer_.data(), bytes);
-    // Behind an answer the next request is begun by the handler that onResponseQueued() queued.
+    // After a response the handler that onResponseQueued() posts starts the next request.
     const bool isBetweenRequests = reader_->done();
     if (!exchange_ && !closeWhenWritten_ && !isBetweenRequests) {
         readRequest();
@@ -119,16 +119,16 @@
     if (unparsed_.empty()) {
         return;
     }
-    const bool hadBegun = reader_->begun();
-    if (!hadBegun) {
-        // The limits that are in force now, not when the connection began to wait.
-        reader_.emplace(makeReader(context_));
+    const bool hadStarted = reader_->begun();
+    if (!hadStarted) {
+        // Uses the current limits, not those of the time when the connection became idle.
+        reader_.emplace(makeRequestReader(context_));
         requestStartedAt_ = std::chrono::steady_clock::now();
     }
     const bool hadHead = reader_->hasHead();
     const std::size_t used = reader_->feed(unparsed_);
     unparsed_.erase(0, used);
-    if (!hadBegun && reader_->begun()) {
+    if (!hadStarted && reader_->begun()) {
         armTimer(limitsOf(context_).headerTimeout);
     }
     body_ += reader_->takeBody();
@@ -158,17 +158,17 @@
 
 void CallerConnection::onPeerClosed(const ErrorCode &error)
 {
-    const bool ended = error == asio::error::eof;
-    close(ended ? CallerCloseReason::PeerClosed : CallerCloseReason::ReadFailed, error);
+    const bool isClosed = error == asio::error::eof;
+    close(isClosed ? CallerCloseReason::PeerClosed : CallerCloseReason::ReadFailed, error);
 }
 
 void CallerConnection::beginExchange()
 {
     timer_.disarm();
-    // A request may have waited long enough for its caller to have left: an endpoint would work
-    // for nobody.
-    if (const ErrorCode gone = peekCloseError()) {
-        onPeerClosed(gone);
+    // The caller may have disconnected while the request was waiting; an endpoint would then
+    // do work whose result nobody receives.
+    if (const ErrorCode closeError = peekCloseError()) {
+        onPeerClosed(closeError);
         return;
     }
     CallerRequest request;
@@ -177,7 +177,7 @@
     request.receivedAt = requestStartedAt_;
     keepAlive_ = request.head.keepAlive;
     context_.link.onReceived(request.body.size() + HeadBytes, std::chrono::steady_clock::now());
-    // Kept here as well: an exchange that is refused ends inside start().
+    // The local copy keeps the exchange alive: one that is refused ends inside start().
     ResponseSink &sink = *this;
     const auto exchange = std::make_shared<Exchange>(context_, std::move(request), sink);
     exchange_ = exchange;
@@ -189,18 +189,18 @@
     }
 }
 
-void CallerConnection::refuseRequest(HttpParseError fault)
+void CallerConnection::refuseRequest(HttpParseError error)
 {
-    const FaultStatus row = statusOf(fault);
-    const bool isFinal = !row.byConfig || context_.configIsCurrent();
-    const int status = isFinal ? row.status : refusalStatus(Reason::NotReady);
-    std::optional<Interval> comeBackAfter;
-    if (!isFinal) {
-        comeBackAfter = ComeBackElsewhere;
+    const ErrorStatus row = statusOf(error);
+    const bool isPermanent = !row.byConfig || context_.configIsCurrent();
+    const int status = isPermanent ? row.status : refusalStatus(Reason::NotReady);
+    std::optional<Interval> retryAfter;
+    if (!isPermanent) {
+        retryAfter = RetryElsewhereDelay;
     }
     context_.log.write(Event("caller.malformed").with("status", status));
     context_.metrics.count("proxy_malformed_total");
-    ResponseHead head = context_.dialect.encodeRefusal(status, RequestId(), comeBackAfter);
+    ResponseHead head = context_.dialect.encodeRefusal(status, RequestId(), retryAfter);
     head.keepAlive = false;
     queue(writeResponseHead(head, BodyFraming::Length, 0));
     onResponseQueued(false);
@@ -208,19 +208,19 @@
 
 void CallerConnection::sendResponse(ResponseHead head, std::string_view body)
 {
-    const bool keep = keepAlive_ && !context_.shouldShedConnections();
-    head.keepAlive = keep;
+    const bool keepAlive = keepAlive_ && !context_.shouldShedConnections();
+    head.keepAlive = keepAlive;
     addKeepAliveField(head);
     std::string bytes = writeResponseHead(head, BodyFraming::Length, body.size());
     bytes.append(body);
     queue(std::move(bytes));
-    onResponseQueued(keep);
+    onResponseQueued(keepAlive);
 }
 
 void CallerConnection::addKeepAliveField(ResponseHead &head) const
 {
-    const Interval told = limitsOf(context_).idleTimeout - IdleMargin;
-    const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(told).count();
+    const Interval advertised = limitsOf(context_).idleTimeout - IdleMargin;
+    const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(advertised).count();
     if (head.keepAlive && seconds > 0) {
         head.fields.push_back({"Keep-Alive", fmt::format("timeout={}", seconds)});
     }
@@ -249,7 +249,8 @@
 
 void CallerConnection::abort()
 {
-    // What came before the cut is the caller's; without the last chunk it isn't complete.
+    // Bytes already queued are still written. Without the last chunk the caller can tell that
+    // the response is incomplete.
     onResponseQueued(false);
     armTimer(LingerTime);
 }
@@ -262,7 +263,7 @@
         write();
         return;
     }
-    // Not from inside the exchange that is just ending.
+    // Posted, because the ending exchange is still on the call stack.
     asio::post(context_.io, [self = shared_from_this()] {
         if (!self->isClosed_ && !self->exchange_ && !self->closeWhenWritten_) {
             self->awaitNextRequest();
@@ -274,10 +275,10 @@
 
 void CallerConnection::awaitNextRequest()
 {
-    reader_.emplace(makeReader(context_));
+    reader_.emplace(makeRequestReader(context_));
     body_.clear();
-    // The first request is waited for: a caller that was sent here just now would find its
-    // connection closed before it could ask.
+    // A new connection always gets to send its first request: a caller that was just
+    // redirected to this host would otherwise lose the connection before sending anything.
     const bool first = std::exchange(isNew_, false);
     if (!first && context_.shouldShedConnections()) {
         drain();
@@ -304,7 +305,7 @@
         close(CallerCloseReason::Idle);
         return;
     }
-    // A request that didn't come in time hasn't run.
+    // The request hasn't been received completely, so it hasn't run.
     ResponseHead head = context_.dialect.encodeRefusal(408, RequestId(), std::nullopt);
     head.keepAlive = false;
     queue(writeResponseHead(head, BodyFraming::Length, 0));
@@ -313,8 +314,8 @@
 
 void CallerConnection::drain()
 {
-    const bool waits = !exchange_ && reader_ && !reader_->begun() && unparsed_.empty();
-    if (waits && outgoing_.empty() && !writing_) {
+    const bool isIdle = !exchange_ && reader_ && !reader_->begun() && unparsed_.empty();
+    if (isIdle && outgoing_.empty() && !writing_) {
         close(CallerCloseReason::Drained);
     }
 }
@@ -362,7 +363,7 @@
         return;
     }
     writing_ = true;
-    // All that waits goes out in one call: each costs processor time.
+    // Joins everything queued into one write to save the CPU cost of a system call each.
     std::string bytes = std::move(outgoing_.front());
     outgoing_.pop_front();
     while (!outgoing_.empty()) {
@@ -388,7 +389,7 @@
                       });
 }
 
-void CallerConnection::close(CallerCloseReason why, const ErrorCode &error)
+void CallerConnection::close(CallerCloseReason reason, const ErrorCode &error)
 {
     if (isClosed_) {
         return;
@@ -398,10 +399,11 @@
     ErrorCode ignored;
     socket_.close(ignored);
     const auto self = shared_from_this();
-    context_.metrics.count("proxy_caller_closed_total", {{"why", std::string(callerCloseReasonName(why))},
-                                                         {"request", exchange_ ? "open" : "none"}});
+    context_.metrics.count("proxy_caller_closed_total",
+                           {{"why", std::string(callerCloseReasonName(reason))},
+                            {"request", exchange_ ? "open" : "none"}});
     if (const std::shared_ptr<Exchange> exchange = std::move(exchange_)) {
-        exchange->onCallerClosed(why, error ? error.message() : std::string());
+        exchange->onCallerClosed(reason, error ? error.message() : std::string());
     }
     if (closed_) {
         closed_(self);
--- a/lib/Proxy/ConnectionPool.cpp
+++ b/lib/Proxy/ConnectionPool.cpp
@@ -16,14 +16,14 @@
 }
 
 std::shared_ptr<HttpConnection> ConnectionPool::take(const tcp::endpoint &address,
-                                                     Interval freshest, Instant now)
+                                                     Interval maxIdleTime, Instant now)
 {
     const auto found = idle_.find(address);
     while (found != idle_.end() && !found->second.empty()) {
         const std::shared_ptr<HttpConnection> connection = found->second.back();
-        const bool fresh = now - connection->idleSince() <= freshest;
-        if (!fresh) {
-            // The others have been idle for longer still.
+        const bool isFresh = now - connection->idleSince() <= maxIdleTime;
+        if (!isFresh) {
+            // The remaining ones have been idle for even longer.
             break;
         }
         found->second.pop_back();
@@ -45,7 +45,7 @@
 
 void ConnectionPool::addIdle(const std::shared_ptr<HttpConnection> &connection)
 {
-    Idle &idle = idle_[connection->address()];
+    IdleConnections &idle = idle_[connection->address()];
     idle.push_back(connection);
     if (idle.size() > settings_.maxIdlePerAddress) {
         idle.front()->cancel();
@@ -80,12 +80,12 @@
 {
     for (auto &[address, idle] : idle_) {
         std::erase_if(idle, [this, now](const std::shared_ptr<HttpConnection> &connection) {
-            const bool old = now - connection->idleSince() > settings_.maxIdleTime
-                             || now >= connection->idleUntil();
-            if (old) {
+            const bool expired = now - connection->idleSince() > settings_.maxIdleTime
+                                 || now >= connection->idleUntil();
+            if (expired) {
                 connection->cancel();
             }
-            return old;
+            return expired;
         });
     }
     std::erase_if(idle_, [](const auto &entry) { return entry.second.empty(); });
--- a/lib/Proxy/EventSplitter.cpp
+++ b/lib/Proxy/EventSplitter.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-struct Cut
+struct EventEnd
 {
-    std::size_t end = std::string::npos; ///< behind the blank line
+    std::size_t end = std::string::npos; ///< offset after the blank line
 };
 
-/// Lines end with LF or CRLF; a blank one ends the event.
-Cut findBlankLine(std::string_view text, std::size_t from)
+/// Lines end with LF or CRLF; a blank line ends the event.
+EventEnd findBlankLine(std::string_view text, std::size_t from)
 {
     for (std::size_t at = text.find('\n', from); at != std::string_view::npos;
          at = text.find('\n', at + 1)) {
@@ -26,7 +26,7 @@
     return {};
 }
 
-std::optional<uint64_t> idOf(std::string_view event)
+std::optional<uint64_t> parseEventId(std::string_view event)
 {
     constexpr std::string_view Field = "id:";
     std::size_t line = 0;
@@ -55,17 +55,17 @@
 
 std::vector<StreamEvent> EventSplitter::feed(std::string_view bytes)
 {
-    // The blank line may begin up to two bytes before what is new.
+    // The blank line may start up to two bytes before the new data.
     const std::size_t from = pending_.size() < 2 ? 0 : pending_.size() - 2;
     pending_.append(bytes);
     std::vector<StreamEvent> events;
     std::size_t begin = 0;
-    for (Cut cut = findBlankLine(pending_, from); cut.end != std::string::npos;
-         cut = findBlankLine(pending_, begin)) {
-        std::string text = pending_.substr(begin, cut.end - begin);
-        const std::optional<uint64_t> id = idOf(text);
+    for (EventEnd found = findBlankLine(pending_, from); found.end != std::string::npos;
+         found = findBlankLine(pending_, begin)) {
+        std::string text = pending_.substr(begin, found.end - begin);
+        const std::optional<uint64_t> id = parseEventId(text);
         events.push_back({std::move(text), id});
-        begin = cut.end;
+        begin = found.end;
     }
     pending_.erase(0, begin);
     return events;
--- a/lib/Proxy/Exchange.cpp
+++ b/lib/Proxy/Exchange.cpp
@@ -11,25 +11,27 @@
 
 namespace {
 
-/// A plain answer up to this size is held until it is whole, so that a broken one can be
-/// replaced by another endpoint's. The users' are under 5 KB.
-constexpr std::size_t MostHeldBytes = 256 * 1024;
+/// A non-streaming response up to this size is buffered until it is complete, so that a broken
+/// one can be replaced by another endpoint's. Usual responses are under 5 KB.
+constexpr std::size_t MaxBufferedBytes = 256 * 1024;
 
-/// Bytes that a caller may leave untaken before its endpoint is no longer read. Some
-/// hundred events; it bounds memory, and the endpoint feels that its caller is slow.
-constexpr std::size_t MostBacklogBytes = 128 * 1024;
+/// Bytes queued for a caller above which its endpoint is no longer read; some hundred events.
+/// This bounds memory and passes the backpressure of a slow caller on to the endpoint.
+constexpr std::size_t MaxBacklogBytes = 128 * 1024;
 
-/// An endpoint that is silent for this many times the route's objective is given up where
-/// another may run the request: 2.5 is past what a queue at a sound endpoint takes, and
-/// leaves another one time within the route's timeout (five objectives and more).
-constexpr double SilenceFactor = 2.5;
+/// An endpoint that sends nothing for this multiple of the route's latency target counts as
+/// stalled, and the request is retried elsewhere if it may be. 2.5 is more than the queueing
+/// time at a healthy endpoint and leaves time for another endpoint within the route's timeout,
+/// which is at least five times the target.
+constexpr double StallTimeoutFactor = 2.5;
 
-/// The same for a pause in a stream, in objectives for pauses: callers leave at eight.
-constexpr double PauseFactor = 4.0;
+/// The same for a gap in a stream, as a multiple of the route's event gap target. Callers
+/// disconnect at eight times the target.
+constexpr double GapTimeoutFactor = 4.0;
 
-/// Endpoints that a request tries to connect to: at 0.4 s each the third uses up most of the
-/// second and a half that short calls wait.
-constexpr uint32_t MostUnconnected = 3;
+/// Maximum number of endpoints that a request fails to connect to. At 0.4 s each, three use up
+/// most of the 1.5 s that short calls wait.
+constexpr uint32_t MaxConnectFailures = 3;
 
 Interval scaled(Interval interval, double factor)
 {
@@ -65,8 +67,8 @@
     self_ = shared_from_this();
     metadata_ = context_.dialect.decodeCaller(request_.head);
     config_ = context_.config();
-    // A caller whose stream broke off goes on behind what it has; sent from the start, its
-    // stream would have pieces twice.
+    // A caller whose stream was interrupted resumes after its last event; a stream sent from
+    // the start would repeat events.
     lastEventId_ = metadata_.lastEventId;
     admit();
 }
@@ -90,8 +92,8 @@
 {
     const Instant now = request_.receivedAt;
     if (!config_) {
-        refuse({Execution::NotRun, Reason::NotReady, "no configuration is known yet",
-                now + ComeBackSoon});
+        refuse({Execution::NotRun, Reason::NotReady, "no configuration has been loaded yet",
+                now + RetryDelay});
         return false;
     }
     const std::string *host = findField(request_.head.fields, "Host");
@@ -101,7 +103,7 @@
     }
     route_ = config_->findRoute(*host, request_.head.target);
     if (route_ == nullptr) {
-        refuseByConfig(Reason::UnknownRoute, "no route has that host and path");
+        refuseByConfig(Reason::UnknownRoute, "no route matches the host and path");
         return false;
     }
     if (!route_->requiresApiKey) {
@@ -109,7 +111,7 @@
     }
     workspace_ = config_->findWorkspaceByKey(metadata_.key);
     if (workspace_ == nullptr) {
-        refuseByConfig(Reason::Unauthenticated, "no workspace has that key");
+        refuseByConfig(Reason::Unauthenticated, "no workspace has this API key");
         return false;
     }
     return true;
@@ -117,33 +119,34 @@
 
 void Exchange::reserveTokens()
 {
-    // The parts of a split route get their share by chance; a repeat stays at its service.
+    // A split route chooses its service by the hash of the request id and the weights, so that
+    // a retry goes to the same service.
     uint32_t total = 0;
-    for (const WeightedService &part : route_->services) {
-        total += part.weight;
+    for (const WeightedService &candidate : route_->services) {
+        total += candidate.weight;
     }
     if (total == 0) {
-        refuse({Execution::NotRun, Reason::NoEndpoint, "the route leads nowhere",
-                request_.receivedAt + ComeBackSoon});
+        refuse({Execution::NotRun, Reason::NoEndpoint, "the route has no service with a weight",
+                request_.receivedAt + RetryDelay});
         return;
     }
     uint64_t pick = stableHash(metadata_.id.text()) % total;
-    for (const WeightedService &part : route_->services) {
-        service_ = config_->findService(part.service);
-        if (pick < part.weight) {
+    for (const WeightedService &candidate : route_->services) {
+        service_ = config_->findService(candidate.service);
+        if (pick < candidate.weight) {
             break;
         }
-        pick -= part.weight;
+        pick -= candidate.weight;
     }
     if (service_ == nullptr) {
-        refuse({Execution::NotRun, Reason::NoEndpoint, "the route's service isn't configured",
-                request_.receivedAt + ComeBackSoon});
+        refuse({Execution::NotRun, Reason::NoEndpoint, "the route's service is not configured",
+                request_.receivedAt + RetryDelay});
         return;
     }
     const Instant now = std::chrono::steady_clock::now();
     if (context_.link.refuses(request_.body.size(), now)) {
-        refuse({Execution::NotRun, Reason::QueueFull, "this host's link is full",
-                now + ComeBackElsewhere});
+        refuse({Execution::NotRun, Reason::QueueFull, "this host's network link is saturated",
+                now + RetryElsewhereDelay});
         return;
     }
     context_.placement.onRequest(service_->name, request_.receivedAt);
@@ -201,8 +204,9 @@
 {
     statechart_.handle("place");
     const Instant now = std::chrono::steady_clock::now();
-    PlacementResult placing = context_.placement.place(workItem(), metadata_.prompt, triedEndpoints_, now);
-    if (auto *verdict = std::get_if<Verdict>(&placing)) {
+    PlacementResult result =
+            context_.placement.place(workItem(), metadata_.prompt, triedEndpoints_, now);
+    if (auto *verdict = std::get_if<Verdict>(&result)) {
         if (sendCount_ > 0 && possibleExecutions_ > 0) {
             fail(Reason::EndpointFailed, verdict->detail, 502);
             return;
@@ -210,7 +214,7 @@
         refuse(std::move(*verdict));
         return;
     }
-    send(std::get<PlacementTarget>(placing));
+    send(std::get<PlacementTarget>(result));
 }
 
 RequestHead Exchange::forwardHead(Instant now, const EndpointId &endpoint) const
@@ -224,32 +228,33 @@
     }
     terms.sendPriority = service_->isModelEngine;
     terms.priority = workspace_ != nullptr && workspace_->overridesPriority ? workspace_->priority
-                                                                           : route_->priority;
+                                                                            : route_->priority;
     return context_.dialect.encodeForward(request_.head, terms);
 }
 
-void Exchange::send(const PlacementTarget &placed)
+void Exchange::send(const PlacementTarget &target)
 {
     const Instant now = std::chrono::steady_clock::now();
     statechart_.handle("send");
-    triedEndpoints_.push_back(placed.endpoint);
+    triedEndpoints_.push_back(target.endpoint);
     ++sendCount_;
     ++possibleExecutions_;
-    attempt_.emplace(placed.endpoint, now);
+    attempt_.emplace(target.endpoint, now);
     const bool repeatable = route_->kind == RouteKind::Idempotent || route_->resumable;
-    attempt_->connection = repeatable ? context_.pool.take(placed.address, now)
-                                      : context_.pool.take(placed.address, FreshForOnce, now);
+    attempt_->connection =
+            repeatable ? context_.pool.take(target.address, now)
+                       : context_.pool.take(target.address, MaxIdleForNonIdempotent, now);
     log(Event("request.sent")
-                .with("endpoint", placed.endpoint)
-                .with("why", placed.reason)
+                .with("endpoint", target.endpoint)
+                .with("why", target.reason)
                 .with("attempt", sendCount_)
                 .with("left_ms", millis(remaining(now)).count())
                 .with("config", config_->version));
-    context_.placement.onSent(placed.endpoint, workItem(), now);
-    std::string bytes = writeRequestHead(forwardHead(now, placed.endpoint), request_.body.size());
+    context_.placement.onSent(target.endpoint, workItem(), now);
+    std::string bytes = writeRequestHead(forwardHead(now, target.endpoint), request_.body.size());
     bytes += request_.body;
     context_.link.onSent(bytes.size(), now);
-    setStallTimeout(scaled(route_->latencyTarget, SilenceFactor));
+    setStallTimeout(scaled(route_->latencyTarget, StallTimeoutFactor));
     attempt_->connection->call(std::move(bytes), *this);
 }
 
@@ -263,8 +268,8 @@
 
 void Exchange::armStallTimer()
 {
-    // Each event moves the moment; the timer looks again when it fires, since arming it for
-    // each event cost as much as reading one.
+    // Each event moves the deadline. The timer checks it again when it fires, since rearming it
+    // for each event cost as much as reading the event.
     stallTimerArmed_ = true;
     stallTimer_.arm(stallDeadline_, [self = shared_from_this()] {
         self->stallTimerArmed_ = false;
@@ -297,7 +302,7 @@
     recordLocalEnd(AttemptOutcome::Stalled);
     cancelAttempt(false);
     statechart_.handle("cut");
-    retryElsewhere("the endpoint is silent");
+    retryElsewhere("the endpoint sent no data in time");
 }
 
 bool Exchange::mayRetry() const
@@ -313,31 +318,34 @@
     const ResponseMetadata &terms = attempt_->metadata;
     const Instant now = std::chrono::steady_clock::now();
     if (terms.keepAliveTimeout) {
-        // Half a second before the endpoint's own time: a request that crosses its close
-        // may have run.
+        // Half a second less than the endpoint's own timeout: a request in flight when the
+        // endpoint closes may have run.
         constexpr Interval Margin = std::chrono::milliseconds(500);
         attempt_->connection->setIdleUntil(now + *terms.keepAliveTimeout - Margin);
     }
-    const bool good = head.status >= 200 && head.status < 300;
-    const bool needsId = good && !terms.notExecuted;
-    const bool foreign = terms.requestId.empty() ? needsId : terms.requestId != metadata_.id;
-    // Without the signature any status may be another program's that has the address by now.
+    const bool isSuccess = head.status >= 200 && head.status < 300;
+    const bool needsId = isSuccess && !terms.notExecuted;
+    const bool isForOtherRequest =
+            terms.requestId.empty() ? needsId : terms.requestId != metadata_.id;
+    // Without the signature a response of any status may come from another program that has
+    // taken over the address.
     const bool isUnsigned = !terms.notExecuted && !terms.hasSignature;
-    const bool spoilt = isUnsigned || (needsId && terms.hasContentEncoding);
-    if (foreign || spoilt) {
-        // An answer to somebody else's request, come late, or not the endpoint's own. What
-        // follows on this connection can't be trusted either.
+    const bool isUntrusted = isUnsigned || (needsId && terms.hasContentEncoding);
+    if (isForOtherRequest || isUntrusted) {
+        // The response belongs to another request and came late, or isn't the endpoint's own.
+        // Further data on this connection can't be trusted either.
         attempt_->outcome = AttemptOutcome::ResponseRejected;
         cancelAttempt(false);
-        retryOrFail(foreign ? "another request's answer came" : "the answer is spoilt");
+        retryOrFail(isForOtherRequest ? "the response belongs to another request"
+                                      : "the response is unsigned or has a content encoding");
         return;
     }
     if (terms.notExecuted) {
         return;
     }
-    attempt_->isSuccess = good;
-    if (good && route_->kind != RouteKind::Stream) {
-        setStallTimeout(scaled(route_->latencyTarget, SilenceFactor));
+    attempt_->isSuccess = isSuccess;
+    if (isSuccess && route_->kind != RouteKind::Stream) {
+        setStallTimeout(scaled(route_->latencyTarget, StallTimeoutFactor));
     }
 }
 
@@ -353,14 +361,14 @@
         sink_.streamData(bytes);
     } else {
         attempt.body.append(bytes);
-        if (attempt.isSuccess && attempt.body.size() > MostHeldBytes) {
+        if (attempt.isSuccess && attempt.body.size() > MaxBufferedBytes) {
             attempt.passThrough = true;
             plainResponseForwarded_ = true;
             beginStream();
             sink_.streamData(std::exchange(attempt.body, std::string()));
         }
     }
-    if (sink_.backlog() > MostBacklogBytes) {
+    if (sink_.backlog() > MaxBacklogBytes) {
         attempt.connection->pauseReading();
     }
 }
@@ -382,13 +390,13 @@
     }
     if (attempt_->splitter.overflowed()) {
         cancelAttempt(false);
-        retryOrFail("an event is too large");
+        retryOrFail("an event exceeds the size limit");
         return;
     }
     if (attempt_->hasFirstEvent) {
-        setStallTimeout(scaled(route_->eventGapTarget, PauseFactor));
+        setStallTimeout(scaled(route_->eventGapTarget, GapTimeoutFactor));
     }
-    if (sink_.backlog() > MostBacklogBytes) {
+    if (sink_.backlog() > MaxBacklogBytes) {
         attempt_->connection->pauseReading();
     }
 }
@@ -397,7 +405,7 @@
 {
     if (event.id && lastEventId_ && *event.id != *lastEventId_ + 1) {
         cancelAttempt(false);
-        retryOrFail("the events aren't in order");
+        retryOrFail("the event ids are not consecutive");
         return false;
     }
     if (!attempt_->hasFirstEvent) {
@@ -417,7 +425,7 @@
 
 void Exchange::onBacklogReduced()
 {
-    if (attempt_ && sink_.backlog() <= MostBacklogBytes / 2) {
+    if (attempt_ && sink_.backlog() <= MaxBacklogBytes / 2) {
         attempt_->connection->resumeReading();
     }
 }
@@ -438,7 +446,7 @@
     }
     if (attempt_->splitter.pending() > 0 || !attempt_->hasFirstEvent) {
         endAttempt(false);
-        retryOrFail("the stream ended inside an event");
+        retryOrFail("the stream ended inside an event or without one");
         return;
     }
     attempt_->outcome = AttemptOutcome::Completed;
@@ -456,14 +464,17 @@
         && context_.placement.mayRetry(service_->name, std::chrono::steady_clock::now())) {
         endAttempt(false);
         statechart_.handle("cut");
-        retryElsewhere(fmt::format("the endpoint answered {}", status));
+        retryElsewhere(fmt::format("the endpoint responded with status {}", status));
         return;
     }
     if (streaming_ && !attempt_->passThrough) {
-        // The caller has a part of a stream that this endpoint was to go on with. Ending it
-        // here would frame that part as the whole.
+        // The caller has received part of a stream that this endpoint should have resumed.
+        // Ending it here in order would make that part look complete.
         endAttempt(!failed);
-        fail(Reason::StreamCut, fmt::format("the stream was to go on, and {} came", status), 502);
+        fail(Reason::StreamCut,
+             fmt::format("instead of resuming the stream the endpoint responded with status {}",
+                         status),
+             502);
         return;
     }
     const ResponseHead head = context_.dialect.encodeResponse(attempt_->head);
@@ -490,65 +501,68 @@
     attempt_->outcome = AttemptOutcome::NotExecuted;
     endAttempt(status != 421);
     statechart_.handle("not_run");
-    const std::string why = fmt::format("endpoint {} refused with {}", endpoint.text(), status);
-    const bool again =
+    const std::string detail =
+            fmt::format("endpoint {} refused the request with status {}", endpoint.text(), status);
+    const bool mayRetryNow =
             sendCount_ < route_->maxAttempts && context_.placement.mayRetry(service_->name, now);
-    if (again) {
-        retryElsewhere(why);
+    if (mayRetryNow) {
+        retryElsewhere(detail);
         return;
     }
-    refuse({Execution::NotRun, Reason::NoEndpoint, why, now + ComeBackSoon});
+    refuse({Execution::NotRun, Reason::NoEndpoint, detail, now + RetryDelay});
 }
 
-void Exchange::onFailed(CallFailure how, const std::string &why)
+void Exchange::onFailed(CallFailure failure, const std::string &detail)
 {
     const Instant now = std::chrono::steady_clock::now();
-    if (how == CallFailure::NotConnected) {
-        // No byte left, so this sending wasn't one.
+    if (failure == CallFailure::NotConnected) {
+        // No byte was sent, so this doesn't count as a sent attempt.
         --possibleExecutions_;
         --sendCount_;
-        onNotConnected(why, now);
+        onNotConnected(detail, now);
         return;
     }
     endAttempt(false);
-    retryOrFail(why);
+    retryOrFail(detail);
 }
 
-void Exchange::onNotConnected(const std::string &why, Instant now)
+void Exchange::onNotConnected(const std::string &detail, Instant now)
 {
-    // While this host's own link is full no endpoint connects in time. Taking each for dead
-    // and trying the next made 6,700 tries in a minute on a link of 10 Mbit/s, and kept
-    // callers until their deadlines.
-    const bool ownLink = context_.link.busy(now);
-    if (!ownLink) {
+    // While this host's own link is saturated, no endpoint connects in time. Treating each one
+    // as dead and trying the next led to 6,700 attempts in a minute on a link of 10 Mbit/s and
+    // kept callers waiting until their deadlines.
+    const bool ownLinkBusy = context_.link.busy(now);
+    if (!ownLinkBusy) {
         context_.placement.onStaleEndpoint(attempt_->endpoint, now);
     }
     attempt_->outcome = AttemptOutcome::NotConnected;
     endAttempt(false);
     statechart_.handle("not_run");
     ++connectFailures_;
-    if (ownLink || connectFailures_ >= MostUnconnected) {
-        refuse({Execution::NotRun, ownLink ? Reason::QueueFull : Reason::NoEndpoint, why,
-                now + (ownLink ? ComeBackElsewhere : ComeBackSoon)});
+    if (ownLinkBusy || connectFailures_ >= MaxConnectFailures) {
+        refuse({Execution::NotRun, ownLinkBusy ? Reason::QueueFull : Reason::NoEndpoint, detail,
+                now + (ownLinkBusy ? RetryElsewhereDelay : RetryDelay)});
         return;
     }
-    retryElsewhere(why);
+    retryElsewhere(detail);
 }
 
-void Exchange::retryOrFail(const std::string &why)
+void Exchange::retryOrFail(const std::string &detail)
 {
     const Instant now = std::chrono::steady_clock::now();
     if (mayRetry() && context_.placement.mayRetry(service_->name, now)) {
         statechart_.handle("cut");
-        retryElsewhere(why);
+        retryElsewhere(detail);
         return;
     }
-    fail(streaming_ ? Reason::StreamCut : Reason::EndpointFailed, why, 502);
+    fail(streaming_ ? Reason::StreamCut : Reason::EndpointFailed, detail, 502);
 }
 
-void Exchange::retryElsewhere(const std::string &why)
+void Exchange::retryElsewhere(const std::string &detail)
 {
-    log(Event("request.repeats").with("why", why).with("behind_event", lastEventId_.value_or(0)));
+    log(Event("request.repeats")
+                .with("why", detail)
+                .with("behind_event", lastEventId_.value_or(0)));
     context_.metrics.count("proxy_repeats_total");
     place();
 }
@@ -568,7 +582,7 @@
     if (route_->kind != RouteKind::Stream) {
         result.firstToken = now - attempt_->sentAt;
     }
-    attemptEnds_.push_back(attempt_->outcome);
+    attemptOutcomes_.push_back(attempt_->outcome);
     attempt_.reset();
     context_.placement.onAttemptEnd(result, now);
 }
@@ -607,30 +621,30 @@
     finish("refuse", "refused", status);
 }
 
-void Exchange::refuseByConfig(Reason reason, const std::string &why)
+void Exchange::refuseByConfig(Reason reason, const std::string &detail)
 {
     if (context_.configIsCurrent()) {
-        refuse({Execution::NotRun, reason, why, {}});
+        refuse({Execution::NotRun, reason, detail, {}});
         return;
     }
-    refuse({Execution::NotRun, Reason::NotReady, why + "; the configuration may be out of date",
-            std::chrono::steady_clock::now() + ComeBackElsewhere});
+    refuse({Execution::NotRun, Reason::NotReady, detail + "; the configuration may be out of date",
+            std::chrono::steady_clock::now() + RetryElsewhereDelay});
 }
 
-void Exchange::fail(Reason reason, const std::string &why, int status)
+void Exchange::fail(Reason reason, const std::string &detail, int status)
 {
     cancelAttempt(false);
     log(Event("request.failed")
                 .with("reason", reasonName(reason))
-                .with("detail", why)
+                .with("detail", detail)
                 .with("execution", executionName(Execution::MayHaveRun)));
     context_.metrics.count("proxy_failures_total", {{"reason", std::string(reasonName(reason))}});
     if (streaming_) {
         sink_.abort();
     } else {
-        const Verdict verdict{Execution::MayHaveRun, reason, why, {}};
+        const Verdict verdict{Execution::MayHaveRun, reason, detail, {}};
         sink_.sendResponse(context_.dialect.encodeRefusal(status, metadata_.id, std::nullopt),
-                     refusalBody(verdict));
+                           refusalBody(verdict));
     }
     finish("give_up", "failed", status);
 }
@@ -642,20 +656,20 @@
     }
     if (possibleExecutions_ > 0) {
         recordLocalEnd(AttemptOutcome::TimedOut);
-        fail(Reason::Timeout, "the time for this request is over", 504);
+        fail(Reason::Timeout, "the request timed out", 504);
         return;
     }
-    refuse({Execution::NotRun, Reason::Timeout, "the time for this request is over",
-            std::chrono::steady_clock::now() + ComeBackSoon});
+    refuse({Execution::NotRun, Reason::Timeout, "the request timed out",
+            std::chrono::steady_clock::now() + RetryDelay});
 }
 
-void Exchange::onCallerClosed(CallerCloseReason why, const std::string &detail)
+void Exchange::onCallerClosed(CallerCloseReason reason, const std::string &detail)
 {
     if (ended() || !self_) {
         return;
     }
     log(Event("request.caller_gone")
-                .with("why", callerCloseReasonName(why))
+                .with("why", callerCloseReasonName(reason))
                 .with("detail", detail)
                 .with("passed_on", possibleExecutions_ > 0)
                 .with("answering", streaming_));
@@ -669,20 +683,21 @@
     if (ended()) {
         return;
     }
-    const std::string why = "the process ends";
+    const std::string detail = "the process is shutting down";
     if (possibleExecutions_ > 0) {
         recordLocalEnd(AttemptOutcome::Cancelled);
-        fail(Reason::Draining, why, 502);
+        fail(Reason::Draining, detail, 502);
         return;
     }
-    refuse({Execution::NotRun, Reason::Draining, why,
-            std::chrono::steady_clock::now() + ComeBackElsewhere});
+    refuse({Execution::NotRun, Reason::Draining, detail,
+            std::chrono::steady_clock::now() + RetryElsewhereDelay});
 }
 
 void Exchange::recordLocalEnd(AttemptOutcome outcome)
 {
     if (attempt_) {
-        attempt_->outcome = attempt_->connection->wasConnected() ? outcome : AttemptOutcome::NotConnected;
+        attempt_->outcome =
+                attempt_->connection->wasConnected() ? outcome : AttemptOutcome::NotConnected;
     }
 }
 
@@ -692,7 +707,7 @@
     use.promptTokens = metadata_.promptTokens;
     use.maxOutputTokens = metadata_.maxOutputTokens;
     use.tokensPerEvent = service_->tokensPerEvent;
-    use.attempts = attemptEnds_;
+    use.attempts = attemptOutcomes_;
     use.eventsForwarded = forwardedEvents_;
     use.nonStreamingResponseForwarded = plainResponseForwarded_;
     return tokensToCharge(use);
--- a/lib/Proxy/HttpConnection.cpp
+++ b/lib/Proxy/HttpConnection.cpp
@@ -35,7 +35,8 @@
     ErrorCode error;
     socket_.open(tcp::v4(), error);
     if (error) {
-        // Out of descriptors, mostly. Told later, as every end of a call is.
+        // Mostly out of file descriptors. Posted, since the end of a call is always reported
+        // asynchronously.
         asio::post(socket_.get_executor(), [self = shared_from_this(), error] {
             self->failCall(CallFailure::NotConnected, error.message());
         });
@@ -47,7 +48,7 @@
     connectTimer_.expires_after(settings_.connectTimeout);
     connectTimer_.async_wait([self = shared_from_this()](const ErrorCode &waited) {
         if (!waited && !self->connected_) {
-            self->failCall(CallFailure::NotConnected, "no connection in time");
+            self->failCall(CallFailure::NotConnected, "connection timed out");
         }
     });
     socket_.async_connect(address_, [self = shared_from_this()](const ErrorCode &connected) {
@@ -77,8 +78,8 @@
                       [self = shared_from_this()](const ErrorCode &error, std::size_t) {
                           self->writing_ = false;
                           if (self->closed_ || error) {
-                              // A server may answer and close before it has read the whole
-                              // body: what it said is still to be read.
+                              // A server may respond and close before it has read the whole
+                              // body; its response can still be read.
                               return;
                           }
                           if (self->observer_ != nullptr) {
@@ -118,7 +119,7 @@
         return;
     }
     if (observer_ == nullptr) {
-        // Bytes that no call asked for: a second answer, or one that came late.
+        // Unsolicited bytes: a second or late response.
         close();
         if (onIdleLost) {
             onIdleLost(*this);
@@ -149,14 +150,14 @@
         return;
     }
     if (reader_->fault() != HttpParseError::None) {
-        failCall(CallFailure::MaybeSent, "not an HTTP answer");
+        failCall(CallFailure::MaybeSent, "malformed HTTP response");
         return;
     }
     if (!reader_->done()) {
         return;
     }
-    // What follows an answer belongs to nobody; what is still being written of the request
-    // would be read as the start of the next one.
+    // Bytes after a response belong to no call. If the request is still being written, the
+    // server would read the rest of it as the next request.
     const bool surplus = used < bytes.size();
     if (surplus || writing_ || !reader_->head().keepAlive) {
         close();
@@ -173,8 +174,8 @@
         }
         return;
     }
-    // Only an orderly close may end a body that has no length; after a reset nobody knows
-    // how much is missing.
+    // Only an orderly close may end a body without a length; after a reset an unknown part of
+    // it is missing.
     if (error == asio::error::eof) {
         reader_->feedEnd();
         if (reader_->done()) {
@@ -199,12 +200,12 @@
     }
 }
 
-void HttpConnection::failCall(CallFailure how, const std::string &why)
+void HttpConnection::failCall(CallFailure failure, const std::string &reason)
 {
     const auto self = shared_from_this();
     close();
     if (HttpCallObserver *observer = std::exchange(observer_, nullptr)) {
-        observer->onFailed(how, why);
+        observer->onFailed(failure, reason);
     }
 }
 
--- a/lib/Proxy/HttpReader.cpp
+++ b/lib/Proxy/HttpReader.cpp
@@ -23,7 +23,7 @@
     if (done_ || fault_ != HttpParseError::None || bytes.empty()) {
         return 0;
     }
-    const std::size_t empty = begun_ ? 0 : emptyLines(bytes);
+    const std::size_t empty = begun_ ? 0 : leadingEmptyLines(bytes);
     bytes.remove_prefix(empty);
     if (bytes.empty()) {
         return empty;
@@ -33,9 +33,10 @@
 }
 
 template <bool IsRequest>
-std::size_t HttpReader<IsRequest>::emptyLines(std::string_view bytes)
+std::size_t HttpReader<IsRequest>::leadingEmptyLines(std::string_view bytes)
 {
-    // Some callers end a body with a line break that its length doesn't count (RFC 9112, 2.2).
+    // Some callers send a line break after the body that its length doesn't include
+    // (RFC 9112, 2.2).
     if constexpr (!IsRequest) {
         return 0;
     }
@@ -77,7 +78,7 @@
     if (done_ || fault_ != HttpParseError::None) {
         return;
     }
-    // Beast takes the end of a connection on which nothing came for a whole message.
+    // Beast treats the end of a connection without any data as a complete message.
     if (!hasHead_) {
         fault_ = HttpParseError::Truncated;
         return;
@@ -131,21 +132,20 @@
 template <bool IsRequest>
 void HttpReader<IsRequest>::on_header_impl(ErrorCode &error)
 {
-    // A body framed in any other way than by a length or as chunks could be read as the
-    // next request by one side and as a body by the other: a caller would smuggle a
-    // request past the checks.
-    int codings = 0;
+    // Only one length or one chunked coding is accepted. With any other framing two hops
+    // could disagree on where the body ends, which allows request smuggling.
+    int transferCodings = 0;
     for (const HttpField &field : head_.fields) {
         if (sameFieldName(field.name, "Transfer-Encoding")) {
-            ++codings;
+            ++transferCodings;
             if (!sameFieldName(field.value, "chunked")) {
                 error = http::error::bad_transfer_encoding;
                 return;
             }
         }
     }
-    const bool both = codings > 0 && findField(head_.fields, "Content-Length") != nullptr;
-    if (codings > 1 || both) {
+    const bool both = transferCodings > 0 && findField(head_.fields, "Content-Length") != nullptr;
+    if (transferCodings > 1 || both) {
         error = http::error::bad_transfer_encoding;
         return;
     }
--- a/lib/Proxy/Refusals.cpp
+++ b/lib/Proxy/Refusals.cpp
@@ -12,7 +12,7 @@
     int status;
 };
 
-/// Every other reason is told as 503: not run, come back.
+/// Every other reason is reported as 503: not run, retry later.
 constexpr ReasonStatus Statuses[] = {
         {Reason::BadRequest, 400}, {Reason::Unauthenticated, 401}, {Reason::BudgetSpent, 402},
         {Reason::NotAllowed, 403}, {Reason::UnknownRoute, 404},    {Reason::QueueFull, 429},
@@ -23,13 +23,13 @@
 
 int refusalStatus(Reason reason)
 {
-    constexpr int NotNow = 503;
+    constexpr int ServiceUnavailable = 503;
     for (const ReasonStatus &row : Statuses) {
         if (row.reason == reason) {
             return row.status;
         }
     }
-    return NotNow;
+    return ServiceUnavailable;
 }
 
 std::string refusalBody(const Verdict &verdict)
--- a/lib/Proxy/Refusals.h
+++ b/lib/Proxy/Refusals.h
@@ -1,7 +1,7 @@
 #ifndef SEQUOIAGATE_LIB_PROXY_REFUSALS_H
 #define SEQUOIAGATE_LIB_PROXY_REFUSALS_H
 
-/// How a verdict is told to a caller over HTTP.
+/// HTTP status and body by which a verdict is reported to a caller.
 
 #include <string>
 
@@ -9,23 +9,23 @@
 
 namespace sequoiagate {
 
-/// When a caller may come back where nothing better is known: long enough for an endpoint
-/// to be chosen anew, short beside the second and a half that short calls wait.
-inline constexpr Interval ComeBackSoon = std::chrono::milliseconds(200);
+/// Default delay before a caller may retry: long enough for another endpoint to be selected,
+/// short compared with the 1.5 s that short calls wait.
+inline constexpr Interval RetryDelay = std::chrono::milliseconds(200);
 
-/// When a caller may come back that this host can't serve and another one can: its next
-/// connection goes to another one, so at once but for a moment that spreads a crowd.
-inline constexpr Interval ComeBackElsewhere = std::chrono::milliseconds(50);
+/// Delay before a retry when this host can't serve a request but another host can. The next
+/// connection goes to another host, so the delay only spreads simultaneous retries.
+inline constexpr Interval RetryElsewhereDelay = std::chrono::milliseconds(50);
 
-/// A request that may run once only isn't sent on a connection that was idle for longer:
-/// an endpoint that closes or forgets it meanwhile resets what is sent next, and whether
-/// it ran nobody knows. Half of the shortest time that endpoints keep idle ones for.
-inline constexpr Interval FreshForOnce = std::chrono::milliseconds(1000);
+/// A non-idempotent request isn't sent on a connection that was idle for longer than this: if
+/// the endpoint closes or forgets the connection meanwhile, it resets the request, and it is
+/// unknown whether the request ran. Half of the shortest idle timeout of the endpoints.
+inline constexpr Interval MaxIdleForNonIdempotent = std::chrono::milliseconds(1000);
 
-/// The status for a refusal of a request that hasn't run.
+/// Returns the HTTP status for refusing a request that hasn't run.
 int refusalStatus(Reason reason);
 
-/// The verdict as JSON: execution, reason, detail.
+/// Returns the verdict as JSON: execution, reason, detail.
 std::string refusalBody(const Verdict &verdict);
 
 } // namespace sequoiagate
