--- a/include/sequoiagate/Proxy/Dialect.h
+++ b/include/sequoiagate/Proxy/Dialect.h
@@ -69,7 +69,7 @@
     /// Returns the request head for the endpoint: the caller's without hop-by-hop fields and
     /// without fields that only this program may set.
     virtual RequestHead encodeForward(const RequestHead &caller,
-                                      const ForwardMetadata &terms) const = 0;
+                                      const ForwardMetadata &metadata) const = 0;
     virtual ResponseMetadata decodeResponse(const ResponseHead &head) const = 0;
     /// Returns the response head for the caller, made from the endpoint's.
     virtual ResponseHead encodeResponse(const ResponseHead &endpoint) const = 0;
--- a/lib/Proxy/Exchange.cpp
+++ b/lib/Proxy/Exchange.cpp
@@ -219,17 +219,18 @@
 
 RequestHead Exchange::forwardHead(Instant now, const EndpointId &endpoint) const
 {
-    ForwardMetadata terms;
-    terms.timeout = remaining(now);
-    terms.endpoint = endpoint;
-    terms.resumeAfter = lastEventId_;
+    ForwardMetadata metadata;
+    metadata.timeout = remaining(now);
+    metadata.endpoint = endpoint;
+    metadata.resumeAfter = lastEventId_;
     if (workspace_ != nullptr) {
-        terms.workspace = workspace_->name;
+        metadata.workspace = workspace_->name;
     }
-    terms.sendPriority = service_->isModelEngine;
-    terms.priority = workspace_ != nullptr && workspace_->overridesPriority ? workspace_->priority
-                                                                            : route_->priority;
-    return context_.dialect.encodeForward(request_.head, terms);
+    metadata.sendPriority = service_->isModelEngine;
+    metadata.priority = workspace_ != nullptr && workspace_->overridesPriority
+                                ? workspace_->priority
+                                : route_->priority;
+    return context_.dialect.encodeForward(request_.head, metadata);
 }
 
 void Exchange::send(const PlacementTarget &target)
@@ -315,22 +316,22 @@
 {
     attempt_->head = head;
     attempt_->metadata = context_.dialect.decodeResponse(head);
-    const ResponseMetadata &terms = attempt_->metadata;
+    const ResponseMetadata &metadata = attempt_->metadata;
     const Instant now = std::chrono::steady_clock::now();
-    if (terms.keepAliveTimeout) {
+    if (metadata.keepAliveTimeout) {
         // Half a second less than the endpoint's own timeout: a request in flight when the
         // endpoint closes may have run.
         constexpr Interval Margin = std::chrono::milliseconds(500);
-        attempt_->connection->setIdleUntil(now + *terms.keepAliveTimeout - Margin);
+        attempt_->connection->setIdleUntil(now + *metadata.keepAliveTimeout - Margin);
     }
     const bool isSuccess = head.status >= 200 && head.status < 300;
-    const bool needsId = isSuccess && !terms.notExecuted;
+    const bool needsId = isSuccess && !metadata.notExecuted;
     const bool isForOtherRequest =
-            terms.requestId.empty() ? needsId : terms.requestId != metadata_.id;
+            metadata.requestId.empty() ? needsId : metadata.requestId != metadata_.id;
     // Without the signature a response of any status may come from another program that has
     // taken over the address.
-    const bool isUnsigned = !terms.notExecuted && !terms.hasSignature;
-    const bool isUntrusted = isUnsigned || (needsId && terms.hasContentEncoding);
+    const bool isUnsigned = !metadata.notExecuted && !metadata.hasSignature;
+    const bool isUntrusted = isUnsigned || (needsId && metadata.hasContentEncoding);
     if (isForOtherRequest || isUntrusted) {
         // The response belongs to another request and came late, or isn't the endpoint's own.
         // Further data on this connection can't be trusted either.
@@ -340,7 +341,7 @@
                                       : "the response is unsigned or has a content encoding");
         return;
     }
-    if (terms.notExecuted) {
+    if (metadata.notExecuted) {
         return;
     }
     attempt_->isSuccess = isSuccess;
--- a/lib/Proxy/HttpReader.cpp
+++ b/lib/Proxy/HttpReader.cpp
@@ -132,7 +132,7 @@
 template <bool IsRequest>
 void HttpReader<IsRequest>::on_header_impl(ErrorCode &error)
 {
-    // Only one length or one chunked coding is accepted. With any other framing two hops
+    // Only a length or a single chunked coding is accepted. With any other framing two hops
     // could disagree on where the body ends, which allows request smuggling.
     int transferCodings = 0;
     for (const HttpField &field : head_.fields) {
--- a/unittests/PlatformAdapter/DialectTest.cpp
+++ b/unittests/PlatformAdapter/DialectTest.cpp
@@ -1,4 +1,4 @@
-/// The platform's headers, decoded and encoded.
+/// Decoding and encoding of the platform's header fields.
 
 #include <gtest/gtest.h>
 
@@ -17,44 +17,44 @@
     return head;
 }
 
-TEST(Dialect, CallersTerms)
+TEST(Dialect, DecodesRequestMetadata)
 {
     const platform::PlatformDialect dialect;
-    const RequestMetadata terms = dialect.decodeCaller(
+    const RequestMetadata metadata = dialect.decodeCaller(
             callerHead({{"request-id", "r"},
                         {"Authorization", "Token k"},
                         {"Deadline-Ms", "1500"},
                         {"Token-Count", "1460,80"},
                         {"Prompt-Prefix", "5c1e07a2:800,91bd3f06:410,e4402b7d:250"},
                         {"Last-Event-Id", "12"}}));
-    EXPECT_EQ(terms.id, RequestId("r"));
-    EXPECT_EQ(terms.key, "k");
-    EXPECT_EQ(terms.timeout, std::chrono::milliseconds(1500));
-    EXPECT_EQ(terms.promptTokens, 1460U);
-    EXPECT_EQ(terms.maxOutputTokens, 80U);
-    ASSERT_EQ(terms.prompt.size(), 3U);
-    EXPECT_EQ(terms.prompt[1].id, 0x91bd3f06U);
-    EXPECT_EQ(terms.prompt[2].tokens, 250U);
-    EXPECT_EQ(terms.lastEventId, 12U);
+    EXPECT_EQ(metadata.id, RequestId("r"));
+    EXPECT_EQ(metadata.key, "k");
+    EXPECT_EQ(metadata.timeout, std::chrono::milliseconds(1500));
+    EXPECT_EQ(metadata.promptTokens, 1460U);
+    EXPECT_EQ(metadata.maxOutputTokens, 80U);
+    ASSERT_EQ(metadata.prompt.size(), 3U);
+    EXPECT_EQ(metadata.prompt[1].id, 0x91bd3f06U);
+    EXPECT_EQ(metadata.prompt[2].tokens, 250U);
+    EXPECT_EQ(metadata.lastEventId, 12U);
 }
 
-// A caller gets 401 for its own key: schemes are the same in either case.
-TEST(Dialect, SchemeOfTheKeyIsReadInEitherCase)
+// Guards against a 401 for a valid key: authentication schemes are case-insensitive.
+TEST(Dialect, AuthorizationSchemeIsCaseInsensitive)
 {
     const platform::PlatformDialect dialect;
     EXPECT_EQ(dialect.decodeCaller(callerHead({{"Authorization", "token k"}})).key, "k");
 }
 
-struct OddTerms
+struct InvalidField
 {
     const char *name;
     HttpField field;
 };
 
-class DialectOddTerms : public testing::TestWithParam<OddTerms>
+class DialectInvalidField : public testing::TestWithParam<InvalidField>
 {};
 
-const OddTerms OddCases[] = {
+const InvalidField InvalidFields[] = {
         {"TokensWithoutOutput", {"Token-Count", "1460"}},
         {"TokensThatArentNumbers", {"Token-Count", "many,few"}},
         {"NegativeTokens", {"Token-Count", "-1,80"}},
@@ -63,20 +63,20 @@
         {"LastEventThatIsNoNumber", {"Last-Event-Id", "1x"}},
 };
 
-TEST_P(DialectOddTerms, SayNothing)
+TEST_P(DialectInvalidField, IsIgnored)
 {
     const platform::PlatformDialect dialect;
-    const RequestMetadata terms = dialect.decodeCaller(callerHead({GetParam().field}));
-    EXPECT_FALSE(terms.hasTokenCounts);
-    EXPECT_TRUE(terms.key.empty());
-    EXPECT_TRUE(terms.prompt.empty());
-    EXPECT_FALSE(terms.lastEventId);
+    const RequestMetadata metadata = dialect.decodeCaller(callerHead({GetParam().field}));
+    EXPECT_FALSE(metadata.hasTokenCounts);
+    EXPECT_TRUE(metadata.key.empty());
+    EXPECT_TRUE(metadata.prompt.empty());
+    EXPECT_FALSE(metadata.lastEventId);
 }
 
-INSTANTIATE_TEST_SUITE_P(Rows, DialectOddTerms, testing::ValuesIn(OddCases),
+INSTANTIATE_TEST_SUITE_P(Rows, DialectInvalidField, testing::ValuesIn(InvalidFields),
                          [](const auto &row) { return std::string(row.param.name); });
 
-TEST(Dialect, CallerCantSayWhatOnlyThisProgramMay)
+TEST(Dialect, ReservedFieldsOfTheCallerAreDropped)
 {
     const platform::PlatformDialect dialect;
     const RequestHead head = dialect.encodeForward(
@@ -101,7 +101,7 @@
     EXPECT_EQ(value("Last-Event-Id"), "4");
 }
 
-TEST(Dialect, EndpointsAnswer)
+TEST(Dialect, DecodesResponseMetadata)
 {
     const platform::PlatformDialect dialect;
     ResponseHead head;
@@ -110,18 +110,18 @@
                    {"Not-Executed", "1"},
                    {"Keep-Alive", "timeout=7, max=3"},
                    {"Content-Type", "text/event-stream; charset=utf-8"}};
-    const ResponseMetadata terms = dialect.decodeResponse(head);
-    EXPECT_TRUE(terms.notExecuted);
-    EXPECT_EQ(terms.requestId, RequestId("r"));
-    EXPECT_EQ(terms.keepAliveTimeout, std::chrono::seconds(7));
-    EXPECT_TRUE(terms.isEventStream);
-    EXPECT_FALSE(terms.hasSignature);
+    const ResponseMetadata metadata = dialect.decodeResponse(head);
+    EXPECT_TRUE(metadata.notExecuted);
+    EXPECT_EQ(metadata.requestId, RequestId("r"));
+    EXPECT_EQ(metadata.keepAliveTimeout, std::chrono::seconds(7));
+    EXPECT_TRUE(metadata.isEventStream);
+    EXPECT_FALSE(metadata.hasSignature);
     head.status = 421;
     head.fields.clear();
     EXPECT_TRUE(dialect.decodeResponse(head).notExecuted);
 }
 
-TEST(Dialect, RefusalSaysWhenToComeBack)
+TEST(Dialect, RefusalHasRetryAfter)
 {
     const platform::PlatformDialect dialect;
     const ResponseHead head =
--- a/unittests/PlatformAdapter/RowsTest.cpp
+++ b/unittests/PlatformAdapter/RowsTest.cpp
@@ -1,5 +1,5 @@
-/// The platform's rows and the store's answers: what is read of them, and that a bad one is
-/// refused by name and harms nothing else.
+/// Decoding of the platform's rows and of the store's responses. Errors name the invalid field
+/// and affect nothing else.
 
 #include <absl/strings/escaping.h>
 #include <gtest/gtest.h>
@@ -47,8 +47,9 @@
     EXPECT_EQ(config->limits.maxBodyBytes, 200U);
 }
 
-// Callers of a deployment without workspaces have no keys to send, and would all get 401.
-TEST(ConfigRow, WithoutWorkspacesAsksForNoKey)
+// Guards against a 401 for all callers of a deployment without workspaces, which have no API
+// keys.
+TEST(ConfigRow, WithoutWorkspacesRequiresNoApiKey)
 {
     const ServingConfigPtr config = platform::decodeConfig(
             R"({"version":7,"backends":[{"name":"s"}],"routes":[{"name":"r","host":"h",)"
@@ -61,7 +62,7 @@
 {
     const char *name;
     std::string value;
-    const char *names; ///< what the error names
+    const char *expectedText; ///< substring of the error message
 };
 
 class BadConfig : public testing::TestWithParam<BadRow>
@@ -69,12 +70,12 @@
 
 const BadRow BadConfigs[] = {
         {"Empty", "", "JSON"},
-        {"CutOff", R"({"version":7,"routes":[)", "JSON"},
+        {"Truncated", R"({"version":7,"routes":[)", "JSON"},
         {"NotAnObject", "[1]", "JSON"},
         {"WithoutVersion", R"({"routes":[]})", "version"},
         {"VersionIsText", R"({"version":"7"})", "version"},
         {"NegativeVersion", R"({"version":-7})", "version"},
-        {"RoutesArentAList", R"({"version":7,"routes":{}})", "routes"},
+        {"RoutesAreNotAnArray", R"({"version":7,"routes":{}})", "routes"},
         {"UnknownKind",
          R"({"version":7,"routes":[{"name":"r","host":"h","path-prefix":"/","type":"x","backend":"s"}]})",
          "type"},
@@ -83,13 +84,13 @@
          "backend"},
 };
 
-TEST_P(BadConfig, IsRefusedByTheNameOfItsField)
+TEST_P(BadConfig, ErrorNamesTheField)
 {
     try {
         platform::decodeConfig(GetParam().value);
-        FAIL() << "was taken";
+        FAIL() << "was accepted";
     } catch (const DecodeError &error) {
-        EXPECT_NE(std::string(error.what()).find(GetParam().names), std::string::npos)
+        EXPECT_NE(std::string(error.what()).find(GetParam().expectedText), std::string::npos)
                 << error.what();
     }
 }
@@ -126,13 +127,13 @@
         {"WithoutState", R"({"backend":"s","address":"a","zone":"z","slots":6})", "state"},
 };
 
-TEST_P(BadEndpoint, NamesNoEndpoint)
+TEST_P(BadEndpoint, ErrorNamesTheField)
 {
     try {
         platform::decodeEndpoint("i", GetParam().value);
-        FAIL() << "was taken";
+        FAIL() << "was accepted";
     } catch (const DecodeError &error) {
-        EXPECT_NE(std::string(error.what()).find(GetParam().names), std::string::npos)
+        EXPECT_NE(std::string(error.what()).find(GetParam().expectedText), std::string::npos)
                 << error.what();
     }
 }
@@ -140,45 +141,45 @@
 INSTANTIATE_TEST_SUITE_P(Rows, BadEndpoint, testing::ValuesIn(BadEndpoints),
                          [](const auto &row) { return std::string(row.param.name); });
 
-// ---- the store's answers ----
+// ---- the store's responses ----
 
 std::string tailBody(const std::string &records)
 {
-    // The end of the topic, then its first offset.
+    // The topic's end offset, then its first offset.
     return std::string(7, '\0') + '\x39' + std::string(8, '\0') + records;
 }
 
-TEST(StoreAnswer, RowsAreReadBackAsWritten)
+TEST(StoreResponse, DecodesEncodedRows)
 {
     const std::string records = platform::encodeRows({{"k", "value", 0}, {"gone", "", 0}});
-    const TailAnswer answer = platform::decodeTail(200, tailBody(records), 40);
-    ASSERT_EQ(answer.rows.size(), 2U);
-    EXPECT_EQ(answer.rows[0].key, "k");
-    EXPECT_EQ(answer.rows[0].value, "value");
-    EXPECT_EQ(answer.rows[0].offset, 40U);
-    EXPECT_TRUE(answer.rows[1].value.empty());
-    EXPECT_EQ(answer.next, 42U);
-    EXPECT_EQ(answer.end, 57U);
+    const TailAnswer response = platform::decodeTail(200, tailBody(records), 40);
+    ASSERT_EQ(response.rows.size(), 2U);
+    EXPECT_EQ(response.rows[0].key, "k");
+    EXPECT_EQ(response.rows[0].value, "value");
+    EXPECT_EQ(response.rows[0].offset, 40U);
+    EXPECT_TRUE(response.rows[1].value.empty());
+    EXPECT_EQ(response.next, 42U);
+    EXPECT_EQ(response.end, 57U);
 }
 
-TEST(StoreAnswer, RecordCutOffInTheMiddleIsReadAgainNextTime)
+TEST(StoreResponse, TruncatedRecordIsReadAgain)
 {
     std::string records = platform::encodeRows({{"a", "1", 0}, {"b", "22", 0}});
     records.pop_back();
-    const TailAnswer answer = platform::decodeTail(200, tailBody(records), 7);
-    EXPECT_EQ(answer.rows.size(), 1U);
-    EXPECT_EQ(answer.next, 8U);
+    const TailAnswer response = platform::decodeTail(200, tailBody(records), 7);
+    EXPECT_EQ(response.rows.size(), 1U);
+    EXPECT_EQ(response.next, 8U);
 }
 
-TEST(StoreAnswer, RecordThatIsNoRowIsPassedOver)
+TEST(StoreResponse, InvalidRecordIsSkipped)
 {
-    // Two bytes, of which the first claims a key of nine.
+    // A record of two bytes whose key length is nine.
     const std::string odd("\x00\x00\x00\x02\x09z", 6);
     const std::string records = odd + platform::encodeRows({{"b", "2", 0}});
-    const TailAnswer answer = platform::decodeTail(200, tailBody(records), 7);
-    ASSERT_EQ(answer.rows.size(), 1U);
-    EXPECT_EQ(answer.rows[0].offset, 8U);
-    EXPECT_EQ(answer.next, 9U);
+    const TailAnswer response = platform::decodeTail(200, tailBody(records), 7);
+    ASSERT_EQ(response.rows.size(), 1U);
+    EXPECT_EQ(response.rows[0].offset, 8U);
+    EXPECT_EQ(response.next, 9U);
 }
 
 struct StatusCase
@@ -194,7 +195,7 @@
 {};
 
 const StatusCase StatusCases[] = {
-        {"NoAnswer", 0, "", StoreOutcome::Unreachable, StoreOutcome::Unreachable},
+        {"NoResponse", 0, "", StoreOutcome::Unreachable, StoreOutcome::Unreachable},
         {"Fenced", 409, R"({"reason":"fenced"})", StoreOutcome::Rejected, StoreOutcome::Rejected},
         {"Sequence", 409, R"({"reason":"seq","seq":4})", StoreOutcome::Rejected,
          StoreOutcome::OutOfOrder},
@@ -203,11 +204,11 @@
         {"TooMany", 429, "", StoreOutcome::Refused, StoreOutcome::Refused},
         {"Busy", 503, "not json", StoreOutcome::Refused, StoreOutcome::Refused},
         {"Full", 507, "", StoreOutcome::Refused, StoreOutcome::Refused},
-        {"CutOffBeforeItsEnd", 200, "short", StoreOutcome::Unreachable, StoreOutcome::Ok},
+        {"Truncated", 200, "short", StoreOutcome::Unreachable, StoreOutcome::Ok},
         {"Forbidden", 403, "", StoreOutcome::Rejected, StoreOutcome::Rejected},
 };
 
-TEST_P(StoreStatus, IsToldAsAnOutcome)
+TEST_P(StoreStatus, IsMappedToAnOutcome)
 {
     const StatusCase &row = GetParam();
     EXPECT_EQ(platform::decodeTail(row.status, row.body, 5).outcome, row.tail);
@@ -218,21 +219,21 @@
 INSTANTIATE_TEST_SUITE_P(Rows, StoreStatus, testing::ValuesIn(StatusCases),
                          [](const auto &row) { return std::string(row.param.name); });
 
-TEST(StoreAnswer, AppendTellsWhereItsRowsEnd)
+TEST(StoreResponse, AppendReturnsTheEndOffset)
 {
     EXPECT_EQ(platform::decodeAppend(200, R"({"offset":8,"end":20})", 2).end, 10U);
     EXPECT_EQ(platform::decodeAppend(409, R"({"reason":"seq","seq":4})", 2).expectedSeq, 4U);
 }
 
-TEST(StoreAnswer, SnapshotPage)
+TEST(StoreResponse, DecodesSnapshotPage)
 {
     const std::string body = R"({"items":[{"key":"k","value":")" + absl::Base64Escape("v1")
                              + R"(","offset":4}],"has-more":true,"end":6})";
-    const SnapshotAnswer answer = platform::decodeSnapshot(200, body);
-    ASSERT_EQ(answer.rows.size(), 1U);
-    EXPECT_EQ(answer.rows[0].value, "v1");
-    EXPECT_TRUE(answer.more);
-    EXPECT_EQ(answer.end, 6U);
+    const SnapshotAnswer response = platform::decodeSnapshot(200, body);
+    ASSERT_EQ(response.rows.size(), 1U);
+    EXPECT_EQ(response.rows[0].value, "v1");
+    EXPECT_TRUE(response.more);
+    EXPECT_EQ(response.end, 6U);
     EXPECT_EQ(platform::decodeSnapshot(200, "{\"items\":").outcome, StoreOutcome::Unreachable);
     EXPECT_EQ(platform::decodeSnapshot(404, "").outcome, StoreOutcome::Ok);
 }
--- a/unittests/PlatformAdapter/StoreTest.cpp
+++ b/unittests/PlatformAdapter/StoreTest.cpp
@@ -1,4 +1,4 @@
-/// Calls to the store whose answers are late, or not what the protocol says.
+/// Calls to the store whose responses are late or violate the protocol.
 
 #include <array>
 #include <thread>
@@ -15,24 +15,25 @@
 
 namespace {
 
-/// A store that takes one call and answers what the test says.
+/// A store that accepts one call and sends the response that the test provides.
 class SlowStore : public testing::Test
 {
 protected:
     SlowStore()
-        : acceptor_(io_, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0)), taken_(io_),
+        : acceptor_(io_, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0)), socket_(io_),
           pool_(io_, {}), store_(io_, pool_, acceptor_.local_endpoint())
     {
-        acceptor_.async_accept(taken_, [this](const boost::system::error_code &) {
-            taken_.async_read_some(
-                    boost::asio::buffer(buffer_),
-                    [this](const boost::system::error_code &, std::size_t) { isAsked_ = true; });
+        acceptor_.async_accept(socket_, [this](const boost::system::error_code &) {
+            socket_.async_read_some(boost::asio::buffer(buffer_),
+                                    [this](const boost::system::error_code &, std::size_t) {
+                                        requestReceived_ = true;
+                                    });
         });
     }
 
-    void answer(const std::string &bytes)
+    void respond(const std::string &bytes)
     {
-        boost::asio::write(taken_, boost::asio::buffer(bytes));
+        boost::asio::write(socket_, boost::asio::buffer(bytes));
     }
 
     void runUntil(const bool &done)
@@ -46,32 +47,33 @@
 
     boost::asio::io_context io_;
     tcp::acceptor acceptor_;
-    tcp::socket taken_;
+    tcp::socket socket_;
     std::array<char, 4096> buffer_{};
     ConnectionPool pool_;
     PlatformStore store_;
-    bool isAsked_ = false;
+    bool requestReceived_ = false;
 };
 
-// A write whose answer is coming counts as unanswered: its timeout passed in the same round.
-TEST_F(SlowStore, AnswerThatBeginsTogetherWithTheTimeoutIsTaken)
+// Guards against treating a write as unanswered when its timeout expires in the same iteration
+// of the event loop in which its response starts to arrive.
+TEST_F(SlowStore, ResponseThatStartsTogetherWithTheTimeoutIsAccepted)
 {
     bool isDone = false;
     StoreOutcome outcome = StoreOutcome::Unreachable;
     store_.append({"topic", "writer", 0, {{"key", "value", 0}}},
-                  [&isDone, &outcome](const AppendAnswer &answer) {
+                  [&isDone, &outcome](const AppendAnswer &response) {
                       isDone = true;
-                      outcome = answer.outcome;
+                      outcome = response.outcome;
                   });
-    runUntil(isAsked_);
+    runUntil(requestReceived_);
     const std::string body = R"({"offset":7,"end":8})";
-    answer(fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", body.size(),
-                       body.substr(0, 1)));
+    respond(fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", body.size(),
+                        body.substr(0, 1)));
     std::this_thread::sleep_for(std::chrono::milliseconds(700));
     io_.restart();
     io_.poll();
     ASSERT_FALSE(isDone);
-    answer(body.substr(1));
+    respond(body.substr(1));
     runUntil(isDone);
     EXPECT_EQ(outcome, StoreOutcome::Ok);
 }
@@ -84,7 +86,7 @@
     StoreOutcome outcome;
 };
 
-class MalformedAppendAnswer : public testing::TestWithParam<AppendCase>
+class MalformedAppendResponse : public testing::TestWithParam<AppendCase>
 {};
 
 const AppendCase AppendCases[] = {
@@ -95,13 +97,14 @@
         {"NotJson", 200, "<html>", StoreOutcome::Ok},
 };
 
-// The process ends, and cuts off all its callers, by an answer that it didn't expect.
-TEST_P(MalformedAppendAnswer, EndsNothing)
+// Guards against a malformed response that terminates the process and with it all callers'
+// connections.
+TEST_P(MalformedAppendResponse, DoesNotThrow)
 {
     EXPECT_EQ(decodeAppend(GetParam().status, GetParam().body, 1).outcome, GetParam().outcome);
 }
 
-INSTANTIATE_TEST_SUITE_P(Rows, MalformedAppendAnswer, testing::ValuesIn(AppendCases),
+INSTANTIATE_TEST_SUITE_P(Rows, MalformedAppendResponse, testing::ValuesIn(AppendCases),
                          [](const auto &row) { return std::string(row.param.name); });
 
 } // namespace
--- a/unittests/Proxy/CallerConnectionTest.cpp
+++ b/unittests/Proxy/CallerConnectionTest.cpp
@@ -1,10 +1,10 @@
-/// How a caller's connection ends while a request of it is open.
+/// Closing, draining and stopping of callers' connections, and their idle timeout.
 
 #include <thread>
 
 #include <gtest/gtest.h>
 
-#include "ProxyWorld.h"
+#include "ProxyTestHarness.h"
 
 using namespace sequoiagate;
 
@@ -26,201 +26,219 @@
 struct CloseCase
 {
     const char *name;
-    void (*close)(ProxyTestHarness &world);
-    const char *why;
+    void (*close)(ProxyTestHarness &harness);
+    const char *logField;
 };
 
 class CallerConnectionClose : public testing::TestWithParam<CloseCase>
 {};
 
 const CloseCase CloseCases[] = {
-        {"CallerLeaves", [](ProxyTestHarness &world) { world.hangUp(); },
+        {"CallerDisconnects", [](ProxyTestHarness &harness) { harness.closeCaller(); },
          "\"why\":\"peer_closed\""},
-        {"ConnectionIsReset", [](ProxyTestHarness &world) { world.reset(); },
+        {"ConnectionIsReset", [](ProxyTestHarness &harness) { harness.reset(); },
          "\"why\":\"read_failed\""},
-        {"StopIsForced", [](ProxyTestHarness &world) { world.connection().forceClose(); },
+        {"StopIsForced", [](ProxyTestHarness &harness) { harness.connection().forceClose(); },
          "\"why\":\"stop_forced\""},
 };
 
-// A request has no answer, and no line says which side closed its connection.
+// Guards against a request that ends without a response and without a log line saying which
+// side closed its connection.
 TEST_P(CallerConnectionClose, IsLoggedWithItsReason)
 {
-    ProxyTestHarness world({{{"", Afterwards::Hang}}});
-    world.send(ProxyTestHarness::request("/once/a", "r"));
-    ASSERT_TRUE(world.waitUntil([&world] { return world.endpoints[0]->received().size() == 1; }));
-    GetParam().close(world);
-    EXPECT_TRUE(world.waitUntil([&world] { return world.endpoints[0]->closedByPeer() == 1; }));
-    EXPECT_EQ(world.logged(GetParam().why), 1U);
-    EXPECT_EQ(world.logged("\"passed_on\":true"), 1U);
+    ProxyTestHarness harness({{{"", AfterReply::Hang}}});
+    harness.send(ProxyTestHarness::request("/once/a", "r"));
+    ASSERT_TRUE(
+            harness.waitUntil([&harness] { return harness.endpoints[0]->received().size() == 1; }));
+    GetParam().close(harness);
+    EXPECT_TRUE(
+            harness.waitUntil([&harness] { return harness.endpoints[0]->closedByPeer() == 1; }));
+    EXPECT_EQ(harness.countLogLines(GetParam().logField), 1U);
+    EXPECT_EQ(harness.countLogLines("\"passed_on\":true"), 1U);
 }
 
 INSTANTIATE_TEST_SUITE_P(Rows, CallerConnectionClose, testing::ValuesIn(CloseCases),
                          [](const auto &row) { return std::string(row.param.name); });
 
-struct CutOffCase
+struct StopCase
 {
     const char *name;
     const char *path;
     std::vector<Reply> replies;
-    const char *before; ///< what the caller has by then
-    const char *told;
-    const char *untold;
+    const char *before; ///< received by the caller before the stop
+    const char *expected;
+    const char *forbidden;
 };
 
-class CallerConnectionCutOff : public testing::TestWithParam<CutOffCase>
+class CallerConnectionStop : public testing::TestWithParam<StopCase>
 {};
 
-const CutOffCase CutOffCases[] = {
-        {"PassedOn", "/once/a", {{"", Afterwards::Hang}}, "", "HTTP/1.1 502", "Retry-After"},
-        {"StreamBegun",
+const StopCase StopCases[] = {
+        {"RequestForwarded",
+         "/once/a",
+         {{"", AfterReply::Hang}},
+         "",
+         "HTTP/1.1 502",
+         "Retry-After"},
+        {"StreamStarted",
          "/stream/a",
-         {{streamHead() + writeChunk("id: 1\ndata: x\n\n"), Afterwards::Hang}},
+         {{streamHead() + writeChunk("id: 1\ndata: x\n\n"), AfterReply::Hang}},
          "id: 1",
          "id: 1",
          "0\r\n\r\n"},
 };
 
-// A request that outlasts the grace of a stop ends with a closed connection and no answer.
-TEST_P(CallerConnectionCutOff, CallerIsTold)
+// Guards against closing the connection without a response when a request outlasts the grace
+// period of a stop.
+TEST_P(CallerConnectionStop, CallerGetsAnErrorOrATruncatedStream)
 {
-    ProxyTestHarness world({GetParam().replies});
-    world.send(ProxyTestHarness::request(GetParam().path, "r"));
-    ASSERT_TRUE(world.waitUntil([&world] { return world.endpoints[0]->received().size() == 1; }));
-    ASSERT_TRUE(world.waitFor(GetParam().before));
-    world.stopping = true;
-    world.connection().stop();
-    EXPECT_TRUE(world.waitFor(GetParam().told)) << world.got();
-    EXPECT_TRUE(world.waitForClose());
-    EXPECT_EQ(world.got().find(GetParam().untold), std::string::npos) << world.got();
-    EXPECT_EQ(world.endpoints[0]->closedByPeer(), 1U);
+    ProxyTestHarness harness({GetParam().replies});
+    harness.send(ProxyTestHarness::request(GetParam().path, "r"));
+    ASSERT_TRUE(
+            harness.waitUntil([&harness] { return harness.endpoints[0]->received().size() == 1; }));
+    ASSERT_TRUE(harness.waitFor(GetParam().before));
+    harness.stopping = true;
+    harness.connection().stop();
+    EXPECT_TRUE(harness.waitFor(GetParam().expected)) << harness.received();
+    EXPECT_TRUE(harness.waitForClose());
+    EXPECT_EQ(harness.received().find(GetParam().forbidden), std::string::npos)
+            << harness.received();
+    EXPECT_EQ(harness.endpoints[0]->closedByPeer(), 1U);
 }
 
-INSTANTIATE_TEST_SUITE_P(Rows, CallerConnectionCutOff, testing::ValuesIn(CutOffCases),
+INSTANTIATE_TEST_SUITE_P(Rows, CallerConnectionStop, testing::ValuesIn(StopCases),
                          [](const auto &row) { return std::string(row.param.name); });
 
-// A request is passed on and its connection closed: its idle limit passed in the same round.
+// Guards against closing the connection of a request that was forwarded, when its idle timeout
+// expires in the same iteration of the event loop.
 TEST(CallerConnection, RequestReadTogetherWithTheIdleTimeoutIsAnswered)
 {
-    ProxyWorldSettings settings;
+    ProxyTestSettings settings;
     settings.idleTimeout = std::chrono::milliseconds(1);
-    ProxyTestHarness world({{{plain("good")}}}, settings);
-    world.send(ProxyTestHarness::request("/once/a", "r"));
+    ProxyTestHarness harness({{{plain("good")}}}, settings);
+    harness.send(ProxyTestHarness::request("/once/a", "r"));
     std::this_thread::sleep_for(2 * settings.idleTimeout);
-    EXPECT_TRUE(world.waitFor("good")) << world.got();
+    EXPECT_TRUE(harness.waitFor("good")) << harness.received();
 }
 
-// A sound request gets a 400, since its bytes came together with the answer to the one before.
-TEST(CallerConnection, RequestReadTogetherWithTheAnswerBeforeIsServed)
+// Guards against a 400 for a valid request whose bytes arrive together with the response to the
+// previous one.
+TEST(CallerConnection, RequestReadTogetherWithThePreviousResponseIsServed)
 {
-    ProxyTestHarness world({{{plain("first")}, {plain("second")}}});
-    world.send(ProxyTestHarness::request("/get/a", "r1"));
-    ASSERT_TRUE(world.waitUntil([&world] { return world.endpoints[0]->received().size() == 1; }));
-    world.send(ProxyTestHarness::request("/get/b", "r2"));
-    EXPECT_TRUE(world.waitFor("second")) << world.got();
-    EXPECT_EQ(world.got().find("400"), std::string::npos) << world.got();
+    ProxyTestHarness harness({{{plain("first")}, {plain("second")}}});
+    harness.send(ProxyTestHarness::request("/get/a", "r1"));
+    ASSERT_TRUE(
+            harness.waitUntil([&harness] { return harness.endpoints[0]->received().size() == 1; }));
+    harness.send(ProxyTestHarness::request("/get/b", "r2"));
+    EXPECT_TRUE(harness.waitFor("second")) << harness.received();
+    EXPECT_EQ(harness.received().find("400"), std::string::npos) << harness.received();
 }
 
-// An answer is cut off by a planned stop while its caller is still taking it.
-TEST(CallerConnection, StopWaitsUntilTheAnswerIsTaken)
+// Guards against a planned stop that truncates a response while its caller is still reading.
+TEST(CallerConnection, DrainWaitsUntilTheResponseIsWritten)
 {
-    ProxyWorldSettings settings;
+    ProxyTestSettings settings;
     settings.isCallerSlow = true;
     const std::string body(200'000, 'x');
-    ProxyTestHarness world({{{plain(body + "end")}}}, settings);
-    world.send(ProxyTestHarness::request("/get/a", "r"));
-    ASSERT_TRUE(world.waitUntil([&world] { return world.desk.settled == 1; }));
-    world.stopping = true;
-    world.connection().drain();
-    world.readAsCaller();
-    EXPECT_TRUE(world.waitFor("xend")) << world.got().size();
-    world.connection().drain();
-    EXPECT_TRUE(world.waitForClose());
+    ProxyTestHarness harness({{{plain(body + "end")}}}, settings);
+    harness.send(ProxyTestHarness::request("/get/a", "r"));
+    ASSERT_TRUE(harness.waitUntil([&harness] { return harness.tokenReservations.settled == 1; }));
+    harness.stopping = true;
+    harness.connection().drain();
+    harness.readAsCaller();
+    EXPECT_TRUE(harness.waitFor("xend")) << harness.received().size();
+    harness.connection().drain();
+    EXPECT_TRUE(harness.waitForClose());
 }
 
-struct GoneCase
+struct DisconnectCase
 {
     const char *name;
-    void (*leave)(ProxyTestHarness &world);
+    void (*disconnect)(ProxyTestHarness &harness);
 };
 
-class CallerGoneUnread : public testing::TestWithParam<GoneCase>
+class CallerDisconnectedEarly : public testing::TestWithParam<DisconnectCase>
 {};
 
-const GoneCase GoneCases[] = {
+const DisconnectCase DisconnectCases[] = {
         {"Closed",
-         [](ProxyTestHarness &world) {
-             world.hangUp();
+         [](ProxyTestHarness &harness) {
+             harness.closeCaller();
          }},
         {"Reset",
-         [](ProxyTestHarness &world) {
-             world.reset();
+         [](ProxyTestHarness &harness) {
+             harness.reset();
          }},
 };
 
-// A request is passed on though its caller's connection has ended already.
-TEST_P(CallerGoneUnread, RequestIsNotPassedOn)
+// Guards against forwarding a request whose caller has already disconnected.
+TEST_P(CallerDisconnectedEarly, RequestIsNotForwarded)
 {
-    ProxyTestHarness world({{{plain("first")}, {plain("second")}}});
-    world.send(ProxyTestHarness::request("/get/a", "r1"));
-    ASSERT_TRUE(world.waitFor("first"));
-    world.send(ProxyTestHarness::request("/get/b", "r2"));
-    GetParam().leave(world);
+    ProxyTestHarness harness({{{plain("first")}, {plain("second")}}});
+    harness.send(ProxyTestHarness::request("/get/a", "r1"));
+    ASSERT_TRUE(harness.waitFor("first"));
+    harness.send(ProxyTestHarness::request("/get/b", "r2"));
+    GetParam().disconnect(harness);
     for (int i = 0; i < 20; ++i) {
-        world.io.restart();
-        world.io.run_one_for(std::chrono::milliseconds(10));
+        harness.io.restart();
+        harness.io.run_one_for(std::chrono::milliseconds(10));
     }
-    EXPECT_EQ(world.logged("request.sent"), 1U);
-    EXPECT_EQ(world.logged("request.caller_gone"), 0U);
-    EXPECT_EQ(world.endpoints[0]->received().size(), 1U);
+    EXPECT_EQ(harness.countLogLines("request.sent"), 1U);
+    EXPECT_EQ(harness.countLogLines("request.caller_gone"), 0U);
+    EXPECT_EQ(harness.endpoints[0]->received().size(), 1U);
 }
 
-INSTANTIATE_TEST_SUITE_P(Rows, CallerGoneUnread, testing::ValuesIn(GoneCases),
+INSTANTIATE_TEST_SUITE_P(Rows, CallerDisconnectedEarly, testing::ValuesIn(DisconnectCases),
                          [](const auto &row) { return std::string(row.param.name); });
 
-// An endpoint that is silent is kept until the deadline if the one before broke off.
-TEST(ExchangeSilence, IsWatchedAfterABreak)
+// Guards against waiting for a stalled endpoint until the deadline when the previous attempt
+// had lost its connection.
+TEST(ExchangeStall, IsDetectedAfterALostConnection)
 {
-    ProxyTestHarness world(
-            {{{"", Afterwards::Close}}, {{"", Afterwards::Hang}}, {{plain("good")}}});
-    world.config->routes[0].maxAttempts = 3;
-    world.config->routes[0].latencyTarget = std::chrono::milliseconds(100);
-    world.send(ProxyTestHarness::request("/get/a", "r"));
-    EXPECT_TRUE(world.waitFor("good")) << world.got();
+    ProxyTestHarness harness(
+            {{{"", AfterReply::Close}}, {{"", AfterReply::Hang}}, {{plain("good")}}});
+    harness.config->routes[0].maxAttempts = 3;
+    harness.config->routes[0].latencyTarget = std::chrono::milliseconds(100);
+    harness.send(ProxyTestHarness::request("/get/a", "r"));
+    EXPECT_TRUE(harness.waitFor("good")) << harness.received();
 }
 
-struct IdleLimitCase
+struct IdleTimeoutCase
 {
     const char *name;
     Interval idleTimeout;
     bool stopping;
-    const char *said;
-    const char *unsaid;
+    const char *expected;
+    const char *forbidden;
 };
 
-class CallerConnectionIdleLimit : public testing::TestWithParam<IdleLimitCase>
+class CallerConnectionIdleTimeout : public testing::TestWithParam<IdleTimeoutCase>
 {};
 
-const IdleLimitCase IdleLimitCases[] = {
+const IdleTimeoutCase IdleTimeoutCases[] = {
         {"Kept", std::chrono::seconds(15), false, "Keep-Alive: timeout=13\r\n",
          "Connection: close"},
-        {"TooShortToSay", std::chrono::milliseconds(2900), false, "good", "Keep-Alive"},
+        {"TooShortToAdvertise", std::chrono::milliseconds(2900), false, "good", "Keep-Alive"},
         {"Closed", std::chrono::seconds(15), true, "Connection: close", "Keep-Alive"},
 };
 
-// Requests cross the close of their connection: callers don't know its idle limit.
-TEST_P(CallerConnectionIdleLimit, IsNamedInTheAnswer)
+// Guards against requests that are in flight when their idle connection is closed, because
+// callers don't know the idle timeout.
+TEST_P(CallerConnectionIdleTimeout, IsAdvertisedInTheResponse)
 {
-    ProxyWorldSettings settings;
+    ProxyTestSettings settings;
     settings.idleTimeout = GetParam().idleTimeout;
-    ProxyTestHarness world({{{plain("good")}}}, settings);
-    world.stopping = GetParam().stopping;
-    world.send(ProxyTestHarness::request("/get/a", "r"));
-    EXPECT_TRUE(world.waitFor("good"));
-    EXPECT_NE(world.got().find(GetParam().said), std::string::npos) << world.got();
-    EXPECT_EQ(world.got().find(GetParam().unsaid), std::string::npos) << world.got();
+    ProxyTestHarness harness({{{plain("good")}}}, settings);
+    harness.stopping = GetParam().stopping;
+    harness.send(ProxyTestHarness::request("/get/a", "r"));
+    EXPECT_TRUE(harness.waitFor("good"));
+    EXPECT_NE(harness.received().find(GetParam().expected), std::string::npos)
+            << harness.received();
+    EXPECT_EQ(harness.received().find(GetParam().forbidden), std::string::npos)
+            << harness.received();
 }
 
-INSTANTIATE_TEST_SUITE_P(Rows, CallerConnectionIdleLimit, testing::ValuesIn(IdleLimitCases),
+INSTANTIATE_TEST_SUITE_P(Rows, CallerConnectionIdleTimeout, testing::ValuesIn(IdleTimeoutCases),
                          [](const auto &row) { return std::string(row.param.name); });
 
 } // namespace
--- a/unittests/Proxy/EventSplitterTest.cpp
+++ b/unittests/Proxy/EventSplitterTest.cpp
@@ -1,4 +1,4 @@
-/// Event streams cut into whole events, whatever pieces the bytes come in.
+/// Splitting of event streams into complete events, independent of how the bytes are chunked.
 
 #include <gtest/gtest.h>
 
--- a/unittests/Proxy/ExchangeTest.cpp
+++ b/unittests/Proxy/ExchangeTest.cpp
@@ -1,8 +1,8 @@
-/// What callers see of one request when endpoints answer well, badly or not at all.
+/// What a caller receives for one request when endpoints respond, fail or don't respond.
 
 #include <gtest/gtest.h>
 
-#include "ProxyWorld.h"
+#include "ProxyTestHarness.h"
 
 using namespace sequoiagate;
 
@@ -21,7 +21,7 @@
            + "Content-Length: 0\r\n\r\n";
 }
 
-/// A status that the endpoint itself gave.
+/// A status with the endpoint's own signature.
 std::string signedStatus(int code)
 {
     return status(code, "Response-Stamp: s\r\n");
@@ -43,24 +43,24 @@
            + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 }
 
-struct AnswerCase
+struct ResponseCase
 {
     const char *name;
     const char *path;
     std::vector<std::vector<Reply>> endpoints;
-    std::string expected;      ///< in what the caller gets
-    std::string forbidden;     ///< not in it
-    bool closes;               ///< the caller's connection
-    std::vector<int> received; ///< requests, by endpoint
-    int spent;                 ///< tokens
+    std::string expected;      ///< substring of what the caller receives
+    std::string forbidden;     ///< substring that must not occur there
+    bool closes;               ///< whether the caller's connection closes
+    std::vector<int> received; ///< number of requests, by endpoint
+    int spent;                 ///< tokens charged
 };
 
-class ExchangeAnswer : public testing::TestWithParam<AnswerCase>
+class ExchangeResponse : public testing::TestWithParam<ResponseCase>
 {};
 
-const AnswerCase AnswerCases[] = {
-        {"Whole", "/get/a", {{{plain("good")}}}, "good", "", false, {1}, 140},
-        {"EndpointsOwnFailureIsPassedOn",
+const ResponseCase ResponseCases[] = {
+        {"Complete", "/get/a", {{{plain("good")}}}, "good", "", false, {1}, 140},
+        {"SignedFailureIsForwarded",
          "/once/a",
          {{{signedStatus(500)}}},
          "HTTP/1.1 500",
@@ -68,8 +68,8 @@
          false,
          {1},
          100},
-        // The caller would get a failure that another endpoint's answer can spare it.
-        {"IdempotentGoesElsewhereAfterAFailure",
+        // Guards against forwarding a failure although another endpoint could serve the request.
+        {"IdempotentIsRetriedAfterAFailure",
          "/get/a",
          {{{signedStatus(500)}}, {{plain("good")}}},
          "good",
@@ -77,42 +77,42 @@
          false,
          {1, 1},
          140},
-        {"IdempotentGoesElsewhereAfterAReset",
+        {"IdempotentIsRetriedAfterAReset",
          "/get/a",
-         {{{"", Afterwards::Reset}}, {{plain("good")}}},
+         {{{"", AfterReply::Reset}}, {{plain("good")}}},
          "good",
          "",
          false,
          {1, 1},
          140},
-        {"IdempotentGoesElsewhereAfterACutAnswer",
+        {"IdempotentIsRetriedAfterATruncatedResponse",
          "/get/a",
-         {{{std::string(Head) + "Content-Length: 9\r\n\r\nhal", Afterwards::Close}},
+         {{{std::string(Head) + "Content-Length: 9\r\n\r\nhal", AfterReply::Close}},
           {{plain("good")}}},
          "good",
          "hal",
          false,
          {1, 1},
          140},
-        // A booking is made twice: the endpoint ran it and its answer was lost.
-        {"OnceIsNeverSentAgainAfterAReset",
+        // Guards against running a request twice: the endpoint ran it, and the response was lost.
+        {"NonIdempotentIsNotRetriedAfterAReset",
          "/once/a",
-         {{{"", Afterwards::Reset}}, {{plain("x")}}},
+         {{{"", AfterReply::Reset}}, {{plain("x")}}},
          "HTTP/1.1 502",
          "Retry-After",
          false,
          {1, 0},
          132},
-        {"OnceIsNeverSentAgainAfterACutAnswer",
+        {"NonIdempotentIsNotRetriedAfterATruncatedResponse",
          "/once/a",
-         {{{std::string(Head) + "Content-Length: 9\r\n\r\nhal", Afterwards::Close}},
+         {{{std::string(Head) + "Content-Length: 9\r\n\r\nhal", AfterReply::Close}},
           {{plain("x")}}},
          "HTTP/1.1 502",
          "hal",
          false,
          {1, 0},
          132},
-        {"OnceGoesElsewhereIfItWasNotRun",
+        {"NonIdempotentIsRetriedIfItWasNotExecuted",
          "/once/a",
          {{{status(503, "Not-Executed: 1\r\n")}}, {{plain("good")}}},
          "good",
@@ -120,7 +120,7 @@
          false,
          {1, 1},
          140},
-        {"NotRunIsToldWithTheTimeToComeBack",
+        {"NotExecutedIsRefusedWithRetryAfter",
          "/once/a",
          {{{status(503, "Not-Executed: 1\r\n")}}},
          "Retry-After: 0.",
@@ -128,8 +128,8 @@
          false,
          {1},
          0},
-        // The address is another endpoint's by now: the request has not run there.
-        {"AnotherEndpointHasTheAddress",
+        // The address belongs to another endpoint by now, which doesn't run the request.
+        {"MisdirectedRequestIsRetried",
          "/once/a",
          {{{status(421)}}, {{plain("good")}}},
          "good",
@@ -137,9 +137,9 @@
          false,
          {1, 1},
          140},
-        // The caller gets another caller's answer: an endpoint's second answer to an earlier
-        // request came late, where the next one was expected.
-        {"AnothersAnswerIsntTaken",
+        // Guards against giving a caller another caller's response: an endpoint's second
+        // response to an earlier request arrives late, where the next one is expected.
+        {"ResponseToAnotherRequestIsRejected",
          "/once/a",
          {{{"HTTP/1.1 200 OK\r\nRequest-Id: other\r\nResponse-Stamp: s\r\nContent-Length: 3\r\n\r\n"
             "bad"}}},
@@ -148,9 +148,9 @@
          false,
          {1},
          100},
-        // A call is made twice, or its caller is told that it wasn't run: the endpoint's refusal of
-        // an earlier request came late, where the answer was expected.
-        {"RefusalOfAnothersRequestPromisesNothing",
+        // Guards against running a request twice or reporting it as not run: the endpoint's refusal
+        // of an earlier request arrives late, where the response is expected.
+        {"RefusalOfAnotherRequestIsRejected",
          "/once/a",
          {{{"HTTP/1.1 503 X\r\nRequest-Id: other\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n"}},
           {{plain("bad")}}},
@@ -159,7 +159,7 @@
          false,
          {1, 0},
          100},
-        {"MisdirectionOfAnothersRequestPromisesNothing",
+        {"MisdirectedStatusOfAnotherRequestIsRejected",
          "/once/a",
          {{{"HTTP/1.1 421 X\r\nRequest-Id: other\r\nContent-Length: 0\r\n\r\n"}}, {{plain("bad")}}},
          "HTTP/1.1 502",
@@ -167,7 +167,7 @@
          false,
          {1, 0},
          100},
-        {"EncodedAnswerIsntTheEndpointsBody",
+        {"ResponseWithContentEncodingIsRejected",
          "/get/a",
          {{{std::string(Head) + "Content-Encoding: gzip\r\nContent-Length: 3\r\n\r\nbad"}},
           {{plain("good")}}},
@@ -176,7 +176,7 @@
          false,
          {1, 1},
          140},
-        {"UnsignedAnswerIsntTaken",
+        {"UnsignedResponseIsRejected",
          "/get/a",
          {{{"HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nContent-Length: 3\r\n\r\nbad"}},
           {{plain("good")}}},
@@ -185,8 +185,8 @@
          false,
          {1, 1},
          140},
-        // Whoever has an endpoint's address by now ends a caller's request with its 404.
-        {"UnsignedNotFoundIsntTheEndpointsAnswer",
+        // Guards against forwarding the 404 of a program that has taken over an endpoint's address.
+        {"UnsignedNotFoundIsRejected",
          "/get/a",
          {{{status(404)}}, {{plain("good")}}},
          "good",
@@ -194,7 +194,7 @@
          false,
          {1, 1},
          140},
-        {"UnsignedRedirectIsntTheEndpointsAnswer",
+        {"UnsignedRedirectIsRejected",
          "/get/a",
          {{{status(302)}}, {{plain("good")}}},
          "good",
@@ -202,7 +202,7 @@
          false,
          {1, 1},
          140},
-        {"UnsignedUnauthorizedIsntTheEndpointsAnswer",
+        {"UnsignedUnauthorizedIsRejected",
          "/get/a",
          {{{status(401)}}, {{plain("good")}}},
          "good",
@@ -210,7 +210,7 @@
          false,
          {1, 1},
          140},
-        {"UnsignedForbiddenOfACallThatMayHaveRunPromisesNothing",
+        {"UnsignedForbiddenOfANonIdempotentRequestIsRejected",
          "/once/a",
          {{{status(403)}}},
          "HTTP/1.1 502",
@@ -218,7 +218,7 @@
          false,
          {1},
          100},
-        {"UnsignedUnavailableOfACallThatMayHaveRunPromisesNothing",
+        {"UnsignedUnavailableOfANonIdempotentRequestIsRejected",
          "/once/a",
          {{{status(503)}}},
          "HTTP/1.1 502",
@@ -226,7 +226,7 @@
          false,
          {1},
          100},
-        {"EndpointsOwnNotFoundIsPassedOn",
+        {"SignedNotFoundIsForwarded",
          "/get/a",
          {{{signedStatus(404)}}},
          "HTTP/1.1 404",
@@ -234,23 +234,23 @@
          false,
          {1},
          100},
-        {"UnframedAnswerEndsWithItsConnection",
+        {"UnframedResponseEndsWithItsConnection",
          "/get/a",
-         {{{std::string(Head) + "\r\ngood", Afterwards::Close}}},
+         {{{std::string(Head) + "\r\ngood", AfterReply::Close}}},
          "good",
          "",
          false,
          {1},
          140},
-        {"UnframedAnswerThatWasResetIsCut",
+        {"UnframedResponseThatWasResetIsRejected",
          "/once/a",
-         {{{std::string(Head) + "\r\nbad", Afterwards::Reset}}},
+         {{{std::string(Head) + "\r\nbad", AfterReply::Reset}}},
          "HTTP/1.1 502",
          "bad",
          false,
          {1},
          132},
-        {"StreamIsPassedOn",
+        {"StreamIsForwarded",
          "/stream/a",
          {{{streamHead() + chunk(event(0)) + chunk(event(1)) + "0\r\n\r\n"}}},
          "0\r\n\r\n",
@@ -258,7 +258,7 @@
          false,
          {1},
          108},
-        // A workspace gets output beside its budget.
+        // Guards against output that isn't charged to the workspace's budget.
         {"EventWithoutAnIdIsCharged",
          "/stream/a",
          {{{streamHead() + chunk(event(0)) + chunk("data: x\n\n") + "0\r\n\r\n"}}},
@@ -267,24 +267,24 @@
          false,
          {1},
          108},
-        // What the caller has must not look complete.
-        {"CutStreamClosesTheConnection",
+        // Guards against a truncated stream that looks complete to the caller.
+        {"TruncatedStreamClosesTheConnection",
          "/stream/a",
-         {{{streamHead() + chunk(event(0)), Afterwards::Reset}}, {{plain("x")}}},
+         {{{streamHead() + chunk(event(0)), AfterReply::Reset}}, {{plain("x")}}},
          "id: 0",
          "0\r\n\r\n",
          true,
          {1, 0},
          136},
-        {"HalfAnEventIsntPassedOn",
+        {"PartialEventIsNotForwarded",
          "/stream/a",
-         {{{streamHead() + chunk(event(0) + "id: 1\nda"), Afterwards::Close}}},
+         {{{streamHead() + chunk(event(0) + "id: 1\nda"), AfterReply::Close}}},
          "id: 0",
          "id: 1",
          true,
          {1},
          136},
-        {"MissingEventEndsTheStream",
+        {"MissingEventAbortsTheStream",
          "/stream/a",
          {{{streamHead() + chunk(event(0)) + chunk(event(2)) + "0\r\n\r\n"}}},
          "id: 0",
@@ -292,28 +292,28 @@
          true,
          {1},
          136},
-        {"ResumableStreamGoesOnElsewhere",
+        {"ResumableStreamIsResumedElsewhere",
          "/resume/a",
-         {{{streamHead() + chunk(event(0)) + chunk("id: 1\nda"), Afterwards::Close}},
+         {{{streamHead() + chunk(event(0)) + chunk("id: 1\nda"), AfterReply::Close}},
           {{streamHead() + chunk(event(1)) + "0\r\n\r\n"}}},
          "id: 1\ndata: x\n\n\r\n0\r\n\r\n",
          "",
          false,
          {1, 1},
          140},
-        // A stream that breaks off is framed as whole: the endpoint that was to go on with it
-        // answers with a failure, which is no stream, and ends in order.
-        {"FailureInTheMiddleOfAStreamCutsIt",
+        // Guards against ending a truncated stream as if it were complete: the endpoint that
+        // should resume it responds with a failure, which isn't a stream and ends in order.
+        {"FailureOnResumeAbortsTheStream",
          "/resume/a",
-         {{{streamHead() + chunk(event(0)), Afterwards::Close}}, {{signedStatus(500)}}},
+         {{{streamHead() + chunk(event(0)), AfterReply::Close}}, {{signedStatus(500)}}},
          "id: 0",
          "0\r\n\r\n",
          true,
          {1, 1},
          136},
-        {"TimeoutIsAnsweredThen",
+        {"TimeoutIsAnsweredAtOnce",
          "/short/a",
-         {{{"", Afterwards::Hang}}},
+         {{{"", AfterReply::Hang}}},
          "HTTP/1.1 504",
          "Retry-After",
          false,
@@ -321,29 +321,29 @@
          132},
 };
 
-TEST_P(ExchangeAnswer, IsWhatTheCallerGets)
+TEST_P(ExchangeResponse, IsReceivedByTheCaller)
 {
-    const AnswerCase &row = GetParam();
-    ProxyTestHarness world(row.endpoints);
-    world.send(ProxyTestHarness::request(row.path, "r1"));
-    EXPECT_TRUE(world.waitFor(row.expected)) << world.got();
+    const ResponseCase &row = GetParam();
+    ProxyTestHarness harness(row.endpoints);
+    harness.send(ProxyTestHarness::request(row.path, "r1"));
+    EXPECT_TRUE(harness.waitFor(row.expected)) << harness.received();
     if (row.closes) {
-        EXPECT_TRUE(world.waitForClose()) << world.got();
+        EXPECT_TRUE(harness.waitForClose()) << harness.received();
     }
-    EXPECT_TRUE(world.waitUntil([&world] { return world.desk.settled == 1; }));
-    EXPECT_EQ(world.closed(), row.closes);
+    EXPECT_TRUE(harness.waitUntil([&harness] { return harness.tokenReservations.settled == 1; }));
+    EXPECT_EQ(harness.closed(), row.closes);
     if (!row.forbidden.empty()) {
-        EXPECT_EQ(world.got().find(row.forbidden), std::string::npos) << world.got();
+        EXPECT_EQ(harness.received().find(row.forbidden), std::string::npos) << harness.received();
     }
     for (std::size_t i = 0; i < row.received.size(); ++i) {
-        EXPECT_EQ(world.endpoints[i]->received().size(), row.received[i]) << "endpoint " << i;
+        EXPECT_EQ(harness.endpoints[i]->received().size(), row.received[i]) << "endpoint " << i;
     }
-    EXPECT_EQ(world.desk.spent, row.spent);
-    EXPECT_EQ(world.desk.reserved, 0U);
-    EXPECT_EQ(world.placement.sent, world.placement.ended);
+    EXPECT_EQ(harness.tokenReservations.spent, row.spent);
+    EXPECT_EQ(harness.tokenReservations.reserved, 0U);
+    EXPECT_EQ(harness.placement.sent, harness.placement.ended);
 }
 
-INSTANTIATE_TEST_SUITE_P(Rows, ExchangeAnswer, testing::ValuesIn(AnswerCases),
+INSTANTIATE_TEST_SUITE_P(Rows, ExchangeResponse, testing::ValuesIn(ResponseCases),
                          [](const auto &row) { return std::string(row.param.name); });
 
 struct RefusalCase
@@ -377,11 +377,11 @@
 
 TEST_P(ExchangeRefusal, ReachesNoEndpoint)
 {
-    ProxyTestHarness world({{{plain("bad")}}});
-    world.desk.usable = 10;
-    world.send(GetParam().request);
-    EXPECT_TRUE(world.waitFor(GetParam().expected)) << world.got();
-    EXPECT_TRUE(world.endpoints[0]->received().empty());
+    ProxyTestHarness harness({{{plain("bad")}}});
+    harness.tokenReservations.usable = 10;
+    harness.send(GetParam().request);
+    EXPECT_TRUE(harness.waitFor(GetParam().expected)) << harness.received();
+    EXPECT_TRUE(harness.endpoints[0]->received().empty());
 }
 
 INSTANTIATE_TEST_SUITE_P(Rows, ExchangeRefusal, testing::ValuesIn(RefusalCases),
@@ -396,7 +396,7 @@
 struct StaleConfigCase
 {
     const char *name;
-    bool isKnown; ///< whether there is a configuration at all
+    bool isKnown; ///< whether a configuration is loaded
     std::string request;
 };
 
@@ -414,53 +414,55 @@
         {"BudgetItKnows", true, ProxyTestHarness::request("/get/a", "r")},
 };
 
-// A newer configuration that can't be read now may allow what the known one doesn't.
-TEST_P(ExchangeWithStaleConfig, RefusesOnlyForNow)
+// A newer configuration that can't be read at the moment may allow what the loaded one doesn't.
+TEST_P(ExchangeWithStaleConfig, RefusesTemporarily)
 {
-    ProxyTestHarness world({{{plain("bad")}}});
-    world.configIsCurrent = false;
-    world.desk.usable = 10;
+    ProxyTestHarness harness({{{plain("bad")}}});
+    harness.configIsCurrent = false;
+    harness.tokenReservations.usable = 10;
     if (!GetParam().isKnown) {
-        world.config.reset();
+        harness.config.reset();
     }
-    world.send(GetParam().request);
-    EXPECT_TRUE(world.waitFor("HTTP/1.1 503")) << world.got();
-    EXPECT_NE(world.got().find("Retry-After"), std::string::npos);
-    EXPECT_TRUE(world.endpoints[0]->received().empty());
+    harness.send(GetParam().request);
+    EXPECT_TRUE(harness.waitFor("HTTP/1.1 503")) << harness.received();
+    EXPECT_NE(harness.received().find("Retry-After"), std::string::npos);
+    EXPECT_TRUE(harness.endpoints[0]->received().empty());
 }
 
 INSTANTIATE_TEST_SUITE_P(Rows, ExchangeWithStaleConfig, testing::ValuesIn(StaleConfigCases),
                          [](const auto &row) { return std::string(row.param.name); });
 
-// A connection that was open when the limits were raised turns away what they allow.
-TEST(Exchange, RequestWithinLimitsThatWereRaisedMeanwhileIsServed)
+// Guards against a connection that keeps using the old limits after they were raised.
+TEST(Exchange, RaisedLimitsApplyToOpenConnections)
 {
-    ProxyTestHarness world({{{plain("good")}}});
-    const auto raised = std::make_shared<ServingConfig>(*world.config);
-    raised->limits.maxHeaderBytes = 2 * world.config->limits.maxHeaderBytes;
-    const std::string padding(world.config->limits.maxHeaderBytes, 'x');
-    world.config = raised;
-    world.send(ProxyTestHarness::request("/get/a", "r", "X-Padding: " + padding + "\r\n"));
-    EXPECT_TRUE(world.waitFor("good")) << world.got();
+    ProxyTestHarness harness({{{plain("good")}}});
+    const auto raised = std::make_shared<ServingConfig>(*harness.config);
+    raised->limits.maxHeaderBytes = 2 * harness.config->limits.maxHeaderBytes;
+    const std::string padding(harness.config->limits.maxHeaderBytes, 'x');
+    harness.config = raised;
+    harness.send(ProxyTestHarness::request("/get/a", "r", "X-Padding: " + padding + "\r\n"));
+    EXPECT_TRUE(harness.waitFor("good")) << harness.received();
 }
 
-// The caller sees nothing; its endpoint works on for nobody. The caller leaves while the
-// endpoint still works; the endpoint's connection is closed, by which it notices.
-TEST(Exchange, CallerThatLeavesEndsTheEndpointsWork)
+// Guards against an endpoint that keeps working for a caller that has disconnected. The
+// endpoint notices by the close of its own connection.
+TEST(Exchange, CallerDisconnectClosesTheEndpointsConnection)
 {
-    ProxyTestHarness world({{{"", Afterwards::Hang}}});
-    world.send(ProxyTestHarness::request("/once/a", "r"));
-    EXPECT_TRUE(world.waitUntil([&world] { return world.endpoints[0]->received().size() == 1; }));
-    world.hangUp();
-    EXPECT_TRUE(world.waitUntil([&world] { return world.endpoints[0]->closedByPeer() == 1; }));
-    EXPECT_TRUE(world.waitUntil([&world] { return world.desk.settled == 1; }));
+    ProxyTestHarness harness({{{"", AfterReply::Hang}}});
+    harness.send(ProxyTestHarness::request("/once/a", "r"));
+    EXPECT_TRUE(
+            harness.waitUntil([&harness] { return harness.endpoints[0]->received().size() == 1; }));
+    harness.closeCaller();
+    EXPECT_TRUE(
+            harness.waitUntil([&harness] { return harness.endpoints[0]->closedByPeer() == 1; }));
+    EXPECT_TRUE(harness.waitUntil([&harness] { return harness.tokenReservations.settled == 1; }));
 }
 
-/// Nobody takes connections from its full queue: those that come are never answered.
-class FullQueue
+/// A listening socket with a full backlog: further connection attempts get no reply.
+class FullListenQueue
 {
 public:
-    explicit FullQueue(boost::asio::io_context &io) : acceptor_(io)
+    explicit FullListenQueue(boost::asio::io_context &io) : acceptor_(io)
     {
         using boost::asio::ip::tcp;
         acceptor_.open(tcp::v4());
@@ -481,102 +483,101 @@
 {
     const char *name;
     const char *path;
-    bool leaves; ///< the caller does, before the deadline
+    bool callerDisconnects; ///< whether the caller disconnects before the deadline
 };
 
 class UnconnectedExchange : public testing::TestWithParam<UnconnectedCase>
 {};
 
 const UnconnectedCase UnconnectedCases[] = {
-        {"CallerLeaves", "/once/a", true},
+        {"CallerDisconnects", "/once/a", true},
         {"DeadlinePasses", "/short/a", false},
 };
 
-// A workspace pays for a request of which no byte left.
+// Guards against charging a workspace for a request of which no byte was sent.
 TEST_P(UnconnectedExchange, IsChargedNothing)
 {
-    ProxyTestHarness world({{{plain("x")}}});
-    const FullQueue queue(world.io);
-    world.placement.endpoints[0].address = queue.address();
-    world.send(ProxyTestHarness::request(GetParam().path, "r"));
-    EXPECT_TRUE(world.waitUntil([&world] { return world.placement.sent == 1; }));
-    if (GetParam().leaves) {
-        world.hangUp();
+    ProxyTestHarness harness({{{plain("x")}}});
+    const FullListenQueue queue(harness.io);
+    harness.placement.endpoints[0].address = queue.address();
+    harness.send(ProxyTestHarness::request(GetParam().path, "r"));
+    EXPECT_TRUE(harness.waitUntil([&harness] { return harness.placement.sent == 1; }));
+    if (GetParam().callerDisconnects) {
+        harness.closeCaller();
     }
-    EXPECT_TRUE(world.waitUntil([&world] { return world.desk.settled == 1; }));
-    EXPECT_TRUE(world.placement.missing.empty());
-    EXPECT_EQ(world.desk.spent, 0U);
-    EXPECT_EQ(world.desk.reserved, 0U);
+    EXPECT_TRUE(harness.waitUntil([&harness] { return harness.tokenReservations.settled == 1; }));
+    EXPECT_TRUE(harness.placement.staleEndpoints.empty());
+    EXPECT_EQ(harness.tokenReservations.spent, 0U);
+    EXPECT_EQ(harness.tokenReservations.reserved, 0U);
 }
 
 INSTANTIATE_TEST_SUITE_P(Rows, UnconnectedExchange, testing::ValuesIn(UnconnectedCases),
                          [](const auto &row) { return std::string(row.param.name); });
 
-TEST(Exchange, UnreachableEndpointIsntASending)
+TEST(Exchange, UnreachableEndpointNeedsNoRetryBudget)
 {
-    ProxyTestHarness world({{}, {{plain("good")}}});
-    world.endpoints[0]->stopListening();
-    world.placement.repeatsLeft = 0;
-    world.send(ProxyTestHarness::request("/once/a", "r"));
-    EXPECT_TRUE(world.waitFor("good"));
-    EXPECT_EQ(world.placement.missing, std::vector<EndpointId>{EndpointId("e0")});
+    ProxyTestHarness harness({{}, {{plain("good")}}});
+    harness.endpoints[0]->stopListening();
+    harness.placement.retriesLeft = 0;
+    harness.send(ProxyTestHarness::request("/once/a", "r"));
+    EXPECT_TRUE(harness.waitFor("good"));
+    EXPECT_EQ(harness.placement.staleEndpoints, std::vector<EndpointId>{EndpointId("e0")});
 }
 
-// A caller waits until its deadline while its request is tried at one endpoint after the
-// other. It is this host's own link that is full: none of them can be reached in time, and
-// each would be taken for dead.
-TEST(Exchange, OwnFullLinkIsntTakenForDeadEndpoints)
+// Guards against trying one endpoint after another until the deadline while this host's own
+// link is saturated: none can be reached in time, and each would be treated as dead.
+TEST(Exchange, SaturatedOwnLinkDoesNotMarkEndpointsStale)
 {
-    ProxyTestHarness world({{}, {{plain("good")}}});
-    world.endpoints[0]->stopListening();
-    world.link.setBytesPerSecond(1'000);
-    world.link.onReceived(1'000'000, std::chrono::steady_clock::now());
-    world.send(ProxyTestHarness::request("/once/a", "r"));
-    EXPECT_TRUE(world.waitFor("HTTP/1.1 429"));
-    EXPECT_TRUE(world.placement.missing.empty());
-    EXPECT_TRUE(world.endpoints[1]->received().empty());
+    ProxyTestHarness harness({{}, {{plain("good")}}});
+    harness.endpoints[0]->stopListening();
+    harness.link.setBytesPerSecond(1'000);
+    harness.link.onReceived(1'000'000, std::chrono::steady_clock::now());
+    harness.send(ProxyTestHarness::request("/once/a", "r"));
+    EXPECT_TRUE(harness.waitFor("HTTP/1.1 429"));
+    EXPECT_TRUE(harness.placement.staleEndpoints.empty());
+    EXPECT_TRUE(harness.endpoints[1]->received().empty());
 }
 
-// A caller waits until its deadline while all endpoints of a service are gone.
-TEST(Exchange, GivesUpAfterThreeUnreachableEndpoints)
+// Guards against waiting until the deadline when all endpoints of a service are gone.
+TEST(Exchange, RefusesAfterThreeUnreachableEndpoints)
 {
-    ProxyTestHarness world({{}, {}, {}, {{plain("good")}}});
+    ProxyTestHarness harness({{}, {}, {}, {{plain("good")}}});
     for (int i = 0; i < 3; ++i) {
-        world.endpoints[static_cast<std::size_t>(i)]->stopListening();
+        harness.endpoints[static_cast<std::size_t>(i)]->stopListening();
     }
-    world.send(ProxyTestHarness::request("/once/a", "r"));
-    EXPECT_TRUE(world.waitFor("HTTP/1.1 503"));
-    EXPECT_EQ(world.placement.missing.size(), 3U);
-    EXPECT_TRUE(world.endpoints[3]->received().empty());
+    harness.send(ProxyTestHarness::request("/once/a", "r"));
+    EXPECT_TRUE(harness.waitFor("HTTP/1.1 503"));
+    EXPECT_EQ(harness.placement.staleEndpoints.size(), 3U);
+    EXPECT_TRUE(harness.endpoints[3]->received().empty());
 }
 
-TEST(Exchange, WithoutRepeatsLeftAFailureIsPassedOn)
+TEST(Exchange, WithoutRetryBudgetAFailureIsForwarded)
 {
-    ProxyTestHarness world({{{signedStatus(500)}}, {{plain("good")}}});
-    world.placement.repeatsLeft = 0;
-    world.send(ProxyTestHarness::request("/get/a", "r"));
-    EXPECT_TRUE(world.waitFor("HTTP/1.1 500"));
+    ProxyTestHarness harness({{{signedStatus(500)}}, {{plain("good")}}});
+    harness.placement.retriesLeft = 0;
+    harness.send(ProxyTestHarness::request("/get/a", "r"));
+    EXPECT_TRUE(harness.waitFor("HTTP/1.1 500"));
 }
 
-// The caller gets pieces twice. Its stream broke off, it asks again and names its last
-// event; an endpoint that isn't told begins from the start.
-TEST(Exchange, CallersOwnPositionIsForwarded)
+// Guards against duplicate events: the caller resumes an interrupted stream by its last event
+// id, and an endpoint that doesn't get this id starts from the beginning.
+TEST(Exchange, CallersLastEventIdIsForwarded)
 {
-    ProxyTestHarness world({{{streamHead() + chunk(event(8)) + "0\r\n\r\n"}}});
-    world.send(ProxyTestHarness::request("/resume/a", "r", "Last-Event-Id: 7\r\n"));
-    EXPECT_TRUE(world.waitFor("id: 8"));
-    const HttpFields &fields = world.endpoints[0]->received()[0].head.fields;
+    ProxyTestHarness harness({{{streamHead() + chunk(event(8)) + "0\r\n\r\n"}}});
+    harness.send(ProxyTestHarness::request("/resume/a", "r", "Last-Event-Id: 7\r\n"));
+    EXPECT_TRUE(harness.waitFor("id: 8"));
+    const HttpFields &fields = harness.endpoints[0]->received()[0].head.fields;
     ASSERT_NE(findField(fields, "Last-Event-Id"), nullptr);
     EXPECT_EQ(*findField(fields, "Last-Event-Id"), "7");
 }
 
-TEST(Exchange, EndpointIsToldWhatTheCallerMayNotSay)
+TEST(Exchange, ReservedFieldsAreReplaced)
 {
-    ProxyTestHarness world({{{plain("good")}}});
-    world.send(ProxyTestHarness::request("/once/a?q=1", "r",
-                                         "Tenant: other\r\nKv-From: x\r\nX-Mine: 1\r\n"));
-    EXPECT_TRUE(world.waitFor("good"));
-    const CallerRequest &received = world.endpoints[0]->received()[0];
+    ProxyTestHarness harness({{{plain("good")}}});
+    harness.send(ProxyTestHarness::request("/once/a?q=1", "r",
+                                           "Tenant: other\r\nKv-From: x\r\nX-Mine: 1\r\n"));
+    EXPECT_TRUE(harness.waitFor("good"));
+    const CallerRequest &received = harness.endpoints[0]->received()[0];
     EXPECT_EQ(received.head.target, "/once/a?q=1");
     EXPECT_EQ(received.body, "hi");
     EXPECT_EQ(*findField(received.head.fields, "Tenant"), "w");
@@ -587,37 +588,37 @@
     EXPECT_LE(std::stoi(*findField(received.head.fields, "Deadline-Ms")), 4000);
 }
 
-TEST(CallerConnection, ServesPipelinedRequestsInTheirOrder)
+TEST(CallerConnection, ServesPipelinedRequestsInOrder)
 {
-    ProxyTestHarness world({{{plain("first")}, {plain("second")}}});
-    world.send(ProxyTestHarness::request("/get/a", "r1")
-               + ProxyTestHarness::request("/get/b", "r2"));
-    EXPECT_TRUE(world.waitFor("second"));
-    EXPECT_LT(world.got().find("first"), world.got().find("second"));
+    ProxyTestHarness harness({{{plain("first")}, {plain("second")}}});
+    harness.send(ProxyTestHarness::request("/get/a", "r1")
+                 + ProxyTestHarness::request("/get/b", "r2"));
+    EXPECT_TRUE(harness.waitFor("second"));
+    EXPECT_LT(harness.received().find("first"), harness.received().find("second"));
 }
 
-// The next caller's request gets this one's second answer. An endpoint sends more than one
-// answer; the connection it came on isn't used again.
-TEST(CallerConnection, EndpointsSurplusBytesEndItsConnection)
+// Guards against reading an endpoint's surplus response as the response to the next request:
+// the connection on which it arrived isn't reused.
+TEST(CallerConnection, SurplusBytesCloseTheEndpointsConnection)
 {
-    ProxyTestHarness world({{{plain("first") + plain("extra")}, {plain("second")}}});
-    world.send(ProxyTestHarness::request("/get/a", "r1"));
-    EXPECT_TRUE(world.waitFor("first"));
-    world.send(ProxyTestHarness::request("/get/b", "r2"));
-    EXPECT_TRUE(world.waitFor("second"));
-    EXPECT_EQ(world.got().find("extra"), std::string::npos);
+    ProxyTestHarness harness({{{plain("first") + plain("extra")}, {plain("second")}}});
+    harness.send(ProxyTestHarness::request("/get/a", "r1"));
+    EXPECT_TRUE(harness.waitFor("first"));
+    harness.send(ProxyTestHarness::request("/get/b", "r2"));
+    EXPECT_TRUE(harness.waitFor("second"));
+    EXPECT_EQ(harness.received().find("extra"), std::string::npos);
 }
 
-// A request in progress is cut off by a planned stop. It ends whole, and its answer says that
-// the connection closes.
-TEST(CallerConnection, StopEndsTheConnectionBehindTheAnswer)
+// Guards against a planned stop that interrupts a request in progress. The request completes,
+// and its response announces the close of the connection.
+TEST(CallerConnection, StopClosesTheConnectionAfterTheResponse)
 {
-    ProxyTestHarness world({{{plain("good")}}});
-    world.stopping = true;
-    world.send(ProxyTestHarness::request("/get/a", "r1"));
-    EXPECT_TRUE(world.waitFor("good"));
-    EXPECT_NE(world.got().find("Connection: close"), std::string::npos);
-    EXPECT_TRUE(world.waitForClose());
+    ProxyTestHarness harness({{{plain("good")}}});
+    harness.stopping = true;
+    harness.send(ProxyTestHarness::request("/get/a", "r1"));
+    EXPECT_TRUE(harness.waitFor("good"));
+    EXPECT_NE(harness.received().find("Connection: close"), std::string::npos);
+    EXPECT_TRUE(harness.waitForClose());
 }
 
 } // namespace
--- a/unittests/Proxy/HttpReaderTest.cpp
+++ b/unittests/Proxy/HttpReaderTest.cpp
@@ -1,4 +1,4 @@
-/// What is taken for one message, and what is refused, whatever pieces the bytes come in.
+/// Which messages are accepted and rejected, independent of how the bytes are chunked.
 
 #include <gtest/gtest.h>
 
@@ -12,8 +12,8 @@
 {
     const char *name;
     std::string bytes;
-    HttpParseError fault;
-    std::string body;     ///< where it is whole
+    HttpParseError error;
+    std::string body;     ///< expected body of a complete message
     std::size_t leftover; ///< bytes that belong to the next message
 };
 
@@ -38,12 +38,13 @@
          "chunked\r\n\r\n3\r\nabc\r\n2;x=1\r\nde\r\n"
          "0\r\n\r\n",
          HttpParseError::None, "abcde", 0},
-        {"NextOneStays", "GET / HTTP/1.1\r\nHost: a\r\n\r\nGET /2", HttpParseError::None, "", 6},
+        {"NextRequestIsLeftOver", "GET / HTTP/1.1\r\nHost: a\r\n\r\nGET /2", HttpParseError::None,
+         "", 6},
         {"EmptyLineBefore", "\r\nGET / HTTP/1.1\r\nHost: a\r\n\r\n", HttpParseError::None, "", 0},
         {"ChunkLinesBeyondTheHeaderLimit",
          "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + inChunks(300) + "0\r\n\r\n",
          HttpParseError::None, std::string(300, 'x'), 0},
-        // The framings by which a caller could smuggle a second request past the checks.
+        // Framings that would allow request smuggling.
         {"LengthAndChunks",
          "POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
          HttpParseError::Malformed, "", 0},
@@ -81,8 +82,8 @@
     const RequestCase &row = GetParam();
     RequestReader whole(smallLimits());
     const std::size_t used = whole.feed(row.bytes);
-    EXPECT_EQ(whole.fault(), row.fault);
-    if (row.fault == HttpParseError::None) {
+    EXPECT_EQ(whole.fault(), row.error);
+    if (row.error == HttpParseError::None) {
         ASSERT_TRUE(whole.done());
         EXPECT_EQ(row.bytes.size() - used, row.leftover);
         EXPECT_EQ(whole.takeBody(), row.body);
@@ -97,8 +98,8 @@
         fed += slow.feed(std::string_view(&c, 1));
         body += slow.takeBody();
     }
-    EXPECT_EQ(slow.fault(), row.fault);
-    if (row.fault == HttpParseError::None) {
+    EXPECT_EQ(slow.fault(), row.error);
+    if (row.error == HttpParseError::None) {
         EXPECT_TRUE(slow.done());
         EXPECT_EQ(fed, row.bytes.size() - row.leftover);
         EXPECT_EQ(body, row.body);
@@ -115,12 +116,12 @@
     bool whole;
 };
 
-class HttpAnswerClosed : public testing::TestWithParam<ClosedCase>
+class HttpResponseClosed : public testing::TestWithParam<ClosedCase>
 {};
 
-// The caller sees a garbled answer of status 0, or a cut answer that looks complete. An
-// endpoint closes its connection: before its first byte, inside a head or a body, or, where
-// nothing else frames the body, at its end. Beast takes the first of these for a message.
+// Guards against a response with status 0, or a truncated one that looks complete, when an
+// endpoint closes its connection: before the first byte, inside the head or the body, or at
+// the end of a body that nothing else frames. Beast treats the first case as a message.
 const ClosedCase ClosedCases[] = {
         {"BeforeFirstByte", "", false},
         {"InsideTheHead", "HTTP/1.1 200 O", false},
@@ -130,7 +131,7 @@
         {"BehindAnUnframedBody", "HTTP/1.1 200 OK\r\n\r\nabc", true},
 };
 
-TEST_P(HttpAnswerClosed, IsWholeOnlyWhereTheCloseFramesIt)
+TEST_P(HttpResponseClosed, IsCompleteOnlyIfTheCloseFramesTheBody)
 {
     ResponseReader reader(smallLimits());
     reader.feed(GetParam().bytes);
@@ -139,10 +140,10 @@
     EXPECT_EQ(reader.fault() == HttpParseError::Truncated, !GetParam().whole);
 }
 
-INSTANTIATE_TEST_SUITE_P(Rows, HttpAnswerClosed, testing::ValuesIn(ClosedCases),
+INSTANTIATE_TEST_SUITE_P(Rows, HttpResponseClosed, testing::ValuesIn(ClosedCases),
                          [](const auto &row) { return std::string(row.param.name); });
 
-TEST(HttpMessage, FieldsOfOneConnectionArentForwarded)
+TEST(HttpMessage, HopByHopFieldsAreRecognized)
 {
     const HttpFields fields = {{"Connection", "close, X-Hop"}, {"X-Hop", "1"}, {"X-End", "2"}};
     EXPECT_TRUE(isHopByHop("x-hop", fields));
--- a/unittests/Proxy/ProxyTestHarness.cpp
+++ b/unittests/Proxy/ProxyTestHarness.cpp
@@ -1,4 +1,4 @@
-#include "ProxyWorld.h"
+#include "ProxyTestHarness.h"
 
 #include <algorithm>
 
@@ -27,18 +27,18 @@
     config->limits.idleTimeout = idleTimeout;
     config->limits.maxHeaderBytes = 2 * 1024;
     const auto route = [](const char *name, RouteKind kind) {
-        Route made;
-        made.name = name;
-        made.host = "h.example";
-        made.pathPrefix = fmt::format("/{}/", name);
-        made.kind = kind;
-        made.services = {{ServiceId("s"), 1}};
-        made.timeout = std::chrono::seconds(5);
-        // Long, so that no verdict hangs on how fast the test's machine is.
-        made.latencyTarget = std::chrono::seconds(2);
-        made.eventGapTarget = std::chrono::seconds(2);
-        made.maxAttempts = 2;
-        return made;
+        Route result;
+        result.name = name;
+        result.host = "h.example";
+        result.pathPrefix = fmt::format("/{}/", name);
+        result.kind = kind;
+        result.services = {{ServiceId("s"), 1}};
+        result.timeout = std::chrono::seconds(5);
+        // Long, so that no result depends on the speed of the machine.
+        result.latencyTarget = std::chrono::seconds(2);
+        result.eventGapTarget = std::chrono::seconds(2);
+        result.maxAttempts = 2;
+        return result;
     };
     config->routes = {route("get", RouteKind::Idempotent), route("once", RouteKind::NonIdempotent),
                       route("stream", RouteKind::Stream), route("resume", RouteKind::Stream),
@@ -64,7 +64,9 @@
 
 struct ScriptedEndpoint::Connection
 {
-    explicit Connection(tcp::socket taken) : socket(std::move(taken)), reader(HttpReaderLimits()) {}
+    explicit Connection(tcp::socket accepted)
+        : socket(std::move(accepted)), reader(HttpReaderLimits())
+    {}
 
     tcp::socket socket;
     RequestReader reader;
@@ -128,10 +130,10 @@
             absl::StrReplaceAll(reply.bytes, {{"{id}", id == nullptr ? "" : *id}});
     error_code ignored;
     boost::asio::write(connection->socket, boost::asio::buffer(bytes), ignored);
-    if (reply.then == Afterwards::Reset) {
+    if (reply.then == AfterReply::Reset) {
         connection->socket.set_option(boost::asio::socket_base::linger(true, 0), ignored);
     }
-    if (reply.then == Afterwards::Reset || reply.then == Afterwards::Close) {
+    if (reply.then == AfterReply::Reset || reply.then == AfterReply::Close) {
         connection->socket.close(ignored);
     }
 }
@@ -147,8 +149,8 @@
     return Verdict{Execution::NotRun, Reason::NoEndpoint, "none is left", now};
 }
 
-TokenRequestId CountingDesk::reserve(const WorkspaceId &, uint64_t tokens, Instant now,
-                                     std::function<void(std::optional<Verdict>)> handler)
+TokenRequestId FakeTokenReservations::reserve(const WorkspaceId &, uint64_t tokens, Instant now,
+                                              std::function<void(std::optional<Verdict>)> handler)
 {
     if (tokens > usable) {
         handler(Verdict{Execution::NotRun, Reason::BudgetSpent, "spent", now});
@@ -160,7 +162,8 @@
     return 0;
 }
 
-void CountingDesk::settle(const WorkspaceId &, uint64_t reservedTokens, uint64_t spentTokens)
+void FakeTokenReservations::settle(const WorkspaceId &, uint64_t reservedTokens,
+                                   uint64_t spentTokens)
 {
     reserved -= reservedTokens;
     usable += reservedTokens - spentTokens;
@@ -169,7 +172,7 @@
 }
 
 ProxyTestHarness::ProxyTestHarness(std::vector<std::vector<Reply>> scripts,
-                                   ProxyWorldSettings settings)
+                                   ProxyTestSettings settings)
     : config(makeConfig(settings.idleTimeout)),
       chart_(Statechart::parse(readShareFile("statecharts/exchange.json"))),
       logFile_(std::tmpfile()),
@@ -179,7 +182,7 @@
                               chart_,
                               pool_,
                               placement,
-                              desk,
+                              tokenReservations,
                               link,
                               log_,
                               metrics_,
@@ -197,14 +200,14 @@
     }
     tcp::acceptor acceptor(io, loopback());
     caller_.open(tcp::v4());
-    constexpr int LittleBytes = 4096;
+    constexpr int SmallBufferBytes = 4096;
     if (settings.isCallerSlow) {
-        caller_.set_option(boost::asio::socket_base::receive_buffer_size(LittleBytes));
+        caller_.set_option(boost::asio::socket_base::receive_buffer_size(SmallBufferBytes));
     }
     caller_.connect(acceptor.local_endpoint());
     tcp::socket accepted = acceptor.accept();
     if (settings.isCallerSlow) {
-        accepted.set_option(boost::asio::socket_base::send_buffer_size(LittleBytes));
+        accepted.set_option(boost::asio::socket_base::send_buffer_size(SmallBufferBytes));
     }
     connection_ = std::make_shared<CallerConnection>(
             context_, std::move(accepted), [](const std::shared_ptr<CallerConnection> &) {});
@@ -238,14 +241,14 @@
                                     closed_ = true;
                                     return;
                                 }
-                                got_.append(buffer_.data(), bytes);
+                                callerReceived_.append(buffer_.data(), bytes);
                                 readAsCaller();
                             });
 }
 
 bool ProxyTestHarness::waitUntil(const std::function<bool()> &condition)
 {
-    // Ends a run that has failed already; no verdict hangs on it.
+    // Only ends a test that has failed already; no result depends on it.
     const Instant limit = std::chrono::steady_clock::now() + std::chrono::seconds(20);
     while (!condition()) {
         if (std::chrono::steady_clock::now() > limit) {
@@ -259,8 +262,8 @@
 
 bool ProxyTestHarness::waitFor(const std::string &text)
 {
-    waitUntil([this, &text] { return closed_ || got_.find(text) != std::string::npos; });
-    return got_.find(text) != std::string::npos;
+    waitUntil([this, &text] { return closed_ || callerReceived_.find(text) != std::string::npos; });
+    return callerReceived_.find(text) != std::string::npos;
 }
 
 bool ProxyTestHarness::waitForClose()
@@ -268,7 +271,7 @@
     return waitUntil([this] { return closed_; });
 }
 
-void ProxyTestHarness::hangUp()
+void ProxyTestHarness::closeCaller()
 {
     error_code ignored;
     caller_.close(ignored);
@@ -279,10 +282,10 @@
 {
     error_code ignored;
     caller_.set_option(boost::asio::socket_base::linger(true, 0), ignored);
-    hangUp();
+    closeCaller();
 }
 
-std::size_t ProxyTestHarness::logged(const std::string &text) const
+std::size_t ProxyTestHarness::countLogLines(const std::string &text) const
 {
     std::size_t count = 0;
     std::rewind(logFile_);
--- a/unittests/Proxy/ProxyTestHarness.h
+++ b/unittests/Proxy/ProxyTestHarness.h
@@ -1,8 +1,8 @@
 #ifndef SEQUOIAGATE_UNITTESTS_PROXY_PROXYTESTHARNESS_H
 #define SEQUOIAGATE_UNITTESTS_PROXY_PROXYTESTHARNESS_H
 
-/// One caller's connection and scripted endpoints on loopback, in one event loop: what the
-/// caller sees and what the endpoints were sent is all that the tests look at.
+/// One caller's connection and scripted endpoints on loopback, in one event loop. The tests
+/// check what the caller receives and which requests the endpoints receive.
 
 #include <memory>
 #include <string>
@@ -17,21 +17,21 @@
 
 namespace sequoiagate {
 
-/// What an endpoint does after its bytes.
-enum class Afterwards {
+/// What an endpoint does after it has sent its bytes.
+enum class AfterReply {
     Keep,
     Close,
     Reset,
-    Hang, ///< it says nothing and keeps the connection
+    Hang, ///< keeps the connection open and sends nothing more
 };
 
 struct Reply
 {
-    std::string bytes; ///< "{id}" stands for the request's id
-    Afterwards then = Afterwards::Keep;
+    std::string bytes; ///< "{id}" is replaced by the request's id
+    AfterReply then = AfterReply::Keep;
 };
 
-/// Answers each request with the next of its replies; "hangs" when they are used up.
+/// Answers each request with the next of its replies; doesn't respond once they are used up.
 class ScriptedEndpoint
 {
 public:
@@ -40,9 +40,9 @@
 
     boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
     const std::vector<CallerRequest> &received() const { return received_; }
-    /// Connections whose other end has closed.
+    /// Number of connections that the other side has closed.
     std::size_t closedByPeer() const { return closedByPeer_; }
-    /// Nobody listens here any more.
+    /// Closes the listening socket, so that new connections are refused.
     void stopListening() { acceptor_.close(); }
 
 private:
@@ -59,7 +59,7 @@
     std::size_t closedByPeer_ = 0;
 };
 
-/// Sends requests to the endpoints in their order; each failed one is left out.
+/// Selects the endpoints in order, skipping those already attempted.
 class OrderedPlacement : public Placement
 {
 public:
@@ -70,20 +70,20 @@
     void onAttemptEnd(const AttemptResult &, Instant) override { ++ended; }
     void onStaleEndpoint(const EndpointId &endpoint, Instant) override
     {
-        missing.push_back(endpoint);
+        staleEndpoints.push_back(endpoint);
     }
-    bool mayRetry(const ServiceId &, Instant) override { return repeatsLeft-- > 0; }
+    bool mayRetry(const ServiceId &, Instant) override { return retriesLeft-- > 0; }
     void onRequest(const ServiceId &, Instant) override {}
 
     std::vector<PlacementTarget> endpoints;
-    std::vector<EndpointId> missing;
-    int repeatsLeft = 10;
+    std::vector<EndpointId> staleEndpoints;
+    int retriesLeft = 10;
     int sent = 0;
     int ended = 0;
 };
 
-/// Has as many tokens as it is told.
-class CountingDesk : public TokenReservations
+/// In-memory token reservations with a settable number of available tokens.
+class FakeTokenReservations : public TokenReservations
 {
 public:
     TokenRequestId reserve(const WorkspaceId &, uint64_t tokens, Instant,
@@ -97,11 +97,11 @@
     int settled = 0;
 };
 
-struct ProxyWorldSettings
+struct ProxyTestSettings
 {
-    /// Of the caller's connection, also until its first request.
+    /// Idle timeout of the caller's connection, also before its first request.
     Interval idleTimeout = std::chrono::seconds(15);
-    /// The caller takes nothing, and its connection holds little.
+    /// The caller doesn't read, and the socket buffers are small.
     bool isCallerSlow = false;
 };
 
@@ -109,29 +109,29 @@
 {
 public:
     explicit ProxyTestHarness(std::vector<std::vector<Reply>> scripts,
-                              ProxyWorldSettings settings = {});
+                              ProxyTestSettings settings = {});
     ~ProxyTestHarness();
 
     /// Writes \p bytes as the caller.
     void send(const std::string &bytes);
-    /// Runs until the caller has got \p text, its connection has closed or nothing more
-    /// happens. \returns whether it got it.
+    /// Runs until the caller has received \p text, its connection is closed or a timeout
+    /// passes. \returns whether the text was received.
     bool waitFor(const std::string &text);
     bool waitUntil(const std::function<bool()> &condition);
     /// Runs until the caller's connection is closed.
     bool waitForClose();
-    void hangUp();
-    /// Ends the caller's connection as a lost one: what it sent last may be lost with it.
+    void closeCaller();
+    /// Resets the caller's connection; data sent last may be lost.
     void reset();
-    /// Begins to read as a caller that was slow until now.
+    /// Starts reading on the caller's side, for a caller that was slow until now.
     void readAsCaller();
-    /// Lines of the log that hold \p text.
-    std::size_t logged(const std::string &text) const;
+    /// Number of log lines that contain \p text.
+    std::size_t countLogLines(const std::string &text) const;
     CallerConnection &connection() { return *connection_; }
-    const std::string &got() const { return got_; }
+    const std::string &received() const { return callerReceived_; }
     bool closed() const { return closed_; }
 
-    /// A request as a caller of the platform sends it.
+    /// Returns a request in the format of the platform's callers.
     static std::string request(const std::string &path, const std::string &id,
                                const std::string &extra = "");
 
@@ -139,7 +139,7 @@
     platform::PlatformDialect dialect;
     std::vector<std::unique_ptr<ScriptedEndpoint>> endpoints;
     OrderedPlacement placement;
-    CountingDesk desk;
+    FakeTokenReservations tokenReservations;
     std::shared_ptr<ServingConfig> config;
     bool configIsCurrent = true;
     bool stopping = false;
@@ -155,7 +155,7 @@
     boost::asio::ip::tcp::socket caller_;
     std::shared_ptr<CallerConnection> connection_;
     std::array<char, 4096> buffer_;
-    std::string got_;
+    std::string callerReceived_;
     bool closed_ = false;
 };
 
