--- a/include/sequoiagate/Proxy/Exchange.h
+++ b/include/sequoiagate/Proxy/Exchange.h
@@ -1,16 +1,18 @@
 #ifndef SEQUOIAGATE_PROXY_EXCHANGE_H
 #define SEQUOIAGATE_PROXY_EXCHANGE_H
 
-/// One request of a caller, from its reading to the end of its answer: route, key, tokens,
-/// endpoint, answer; and what is done when one of them fails.
+/// One request of a caller, from its receipt to the end of its response: finds the route,
+/// checks the API key, reserves tokens, selects an endpoint, forwards the response and handles
+/// failures of each step.
 ///
-/// What always holds here:
-/// - A request that may not be repeated is sent once. It is called "not run" only if no
-///   byte of it left, or the endpoint said that it didn't run it.
-/// - An answer is passed on as the endpoint's only if it bears the request's id. A plain
-///   one is passed on whole; a stream event by event, and its end only if it was seen.
-/// - When the caller leaves, the endpoint's connection is closed, which ends its work.
-/// - At its route's timeout or its caller's patience a request is answered at that moment.
+/// Invariants:
+/// - A non-idempotent request is sent once. It is reported as "not run" only if no byte of it
+///   was sent, or the endpoint reported that it didn't run it.
+/// - A response is forwarded as the endpoint's only if it carries the request's id. A
+///   non-streaming response is forwarded completely, a stream event by event and its end only
+///   if the endpoint ended it.
+/// - When the caller disconnects, the endpoint's connection is closed, which cancels its work.
+/// - When the route's or the caller's timeout expires, the request is answered at once.
 
 #include <memory>
 #include <optional>
@@ -29,7 +31,7 @@
 
 namespace sequoiagate {
 
-/// A request as it was read.
+/// A request as received from the caller.
 struct CallerRequest
 {
     RequestHead head;
@@ -37,25 +39,28 @@
     Instant receivedAt;
 };
 
-/// Single-threaded. Keeps itself alive until it has ended.
+/// Single-threaded. Keeps itself alive until the request has ended.
 class Exchange : public std::enable_shared_from_this<Exchange>, private HttpCallObserver
 {
 public:
-    /// \pre context and sink outlive the exchange, or callerGone is called before the sink goes.
+    /// \pre context and sink outlive the exchange, or onCallerClosed is called before the sink is
+    /// destroyed.
     Exchange(ProxyContext &context, CallerRequest request, ResponseSink &sink);
     ~Exchange() override;
 
     void start();
-    /// The caller's connection is closed. \param detail the error, if there was one
-    void callerGone(CallerCloseReason why, const std::string &detail);
-    /// Ends it at once, since the process ends, and tells its caller whether it may have run.
-    void cutOff();
-    /// The caller took bytes: more may be read from the endpoint.
-    void callerTook();
-    bool ended() const { return position_.isFinished(); }
+    /// Called when the caller's connection is closed. \param detail the error, if any
+    void onCallerClosed(CallerCloseReason reason, const std::string &detail);
+    /// Ends the request at once because the process stops, and reports to the caller whether it
+    /// may have run.
+    void stop();
+    /// Called when bytes were written to the caller, so that reading from the endpoint may
+    /// resume.
+    void onBacklogReduced();
+    bool ended() const { return statechart_.isFinished(); }
 
 private:
-    /// One sending to one endpoint.
+    /// One attempt: the request sent to one endpoint.
     struct Attempt
     {
         Attempt(EndpointId to, Instant at) : endpoint(std::move(to)), sentAt(at) {}
@@ -63,58 +68,59 @@
         std::shared_ptr<HttpConnection> connection;
         EndpointId endpoint;
         Instant sentAt;
-        ResponseMetadata terms;
+        ResponseMetadata metadata;
         ResponseHead head;
         std::string body;
         EventSplitter splitter;
-        bool answering = false; ///< a good answer's head has come
-        bool firstEvent = false;
-        bool passThrough = false; ///< a plain answer too large to be held
-        /// How it counts if it ends now. An end that nobody told counts as a cut.
-        AttemptOutcome end = AttemptOutcome::ConnectionLost;
+        bool isSuccess = false; ///< the head of a successful response was received
+        bool hasFirstEvent = false;
+        bool passThrough = false; ///< a non-streaming response too large to buffer
+        /// The outcome if the attempt ends now. Without a known cause it is a lost connection.
+        AttemptOutcome outcome = AttemptOutcome::ConnectionLost;
     };
 
-    void decide();
-    bool allowed();
-    void reserve();
+    void admit();
+    bool resolveRouteAndWorkspace();
+    void reserveTokens();
     void onReserved(std::optional<Verdict> refusal);
     void place();
-    void send(const PlacementTarget &placed);
+    void send(const PlacementTarget &target);
     RequestHead forwardHead(Instant now, const EndpointId &endpoint) const;
 
-    // ---- what comes back ----
+    // ---- response ----
     void onHead(const ResponseHead &head) override;
     void onBody(std::string_view bytes) override;
     void onDone() override;
-    void onBroken(CallBreak how, const std::string &why) override;
+    void onFailed(CallFailure failure, const std::string &detail) override;
     void onStreamBytes(std::string_view bytes);
-    bool takeEvent(const StreamEvent &event);
+    bool forwardEvent(const StreamEvent &event);
     void beginStream();
     void onNotExecuted();
-    void onPlainAnswer();
+    void onPlainResponse();
     void endAttempt(bool succeeded);
-    void dropAttempt(bool succeeded);
+    void cancelAttempt(bool succeeded);
 
-    // ---- what is done about a failure ----
-    bool mayRunAgain() const;
-    void onNotConnected(const std::string &why, Instant now);
-    void runAgainOrFail(const std::string &why);
-    void tryElsewhere(const std::string &why);
+    // ---- failure handling ----
+    bool mayRetry() const;
+    void onNotConnected(const std::string &detail, Instant now);
+    void retryOrFail(const std::string &detail);
+    void retryElsewhere(const std::string &detail);
     void refuse(Verdict verdict);
-    /// Refuses what the configuration doesn't allow; only for now if it may be out of date.
-    void refuseByConfig(Reason reason, const std::string &why);
-    void fail(Reason reason, const std::string &why, int status);
+    /// Refuses a request that the configuration doesn't allow. If the configuration may be out
+    /// of date, the refusal is a temporary one.
+    void refuseByConfig(Reason reason, const std::string &detail);
+    void fail(Reason reason, const std::string &detail, int status);
     void onDeadline();
-    void onSilence();
-    void armSilence(Interval limit);
-    void awaitSilence();
-    void noLongerAwaitSilence();
+    void onStalled();
+    void setStallTimeout(Interval limit);
+    void armStallTimer();
+    void disarmStallTimer();
 
     void finish(std::string_view event, std::string_view outcome, int status);
     void settle();
     uint64_t spentTokens() const;
-    /// Notes that the open attempt, if any, is broken off by this side.
-    void noteBrokenOff(AttemptOutcome end);
+    /// Records the outcome of the open attempt, if any, when this side aborts it.
+    void recordLocalEnd(AttemptOutcome outcome);
     WorkItem workItem() const;
     Interval remaining(Instant now) const;
     void log(Event event);
@@ -123,30 +129,30 @@
     CallerRequest request_;
     ResponseSink &sink_;
     ServingConfigPtr config_;
-    RequestMetadata terms_;
+    RequestMetadata metadata_;
     const Route *route_ = nullptr;
     const WorkspaceSpec *workspace_ = nullptr;
     const ServiceSpec *service_ = nullptr;
-    StatechartInstance position_;
+    StatechartInstance statechart_;
     Instant deadline_ = Never;
     boost::asio::steady_timer deadlineTimer_;
-    DeadlineTimer silenceTimer_;
-    Instant silentAt_ = Never; ///< the endpoint counts as silent then
-    bool awaitsSilence_ = false;
-    std::optional<TokenRequestId> ticket_;
-    uint64_t reserved_ = 0;
-    bool holdsTokens_ = false;
+    DeadlineTimer stallTimer_;
+    Instant stallDeadline_ = Never; ///< when the endpoint counts as stalled
+    bool stallTimerArmed_ = false;
+    std::optional<TokenRequestId> tokenRequest_;
+    uint64_t reservedTokens_ = 0;
+    bool hasReservation_ = false;
     std::optional<Attempt> attempt_;
-    std::vector<EndpointId> tried_;
-    uint32_t sends_ = 0;        ///< endpoints that a byte of it was, or may have been, sent to
-    uint32_t unconnected_ = 0;  ///< endpoints that it could not connect to
-    uint32_t possibleRuns_ = 0; ///< of these, that may have begun to run it
-    std::vector<AttemptOutcome> ends_; ///< of all attempts but an open one
-    bool streaming_ = false;           ///< the caller has the head of a stream
-    bool plainAnswerTold_ = false;     ///< of a success, whole or in part
-    uint64_t eventsTold_ = 0;
-    std::optional<uint64_t> lastEvent_;
-    std::shared_ptr<Exchange> self_; ///< while it is open
+    std::vector<EndpointId> triedEndpoints_;
+    uint32_t sendCount_ = 0;          ///< attempts of which a byte was or may have been sent
+    uint32_t connectFailures_ = 0;    ///< endpoints that couldn't be connected to
+    uint32_t possibleExecutions_ = 0; ///< attempts that may have started to run the request
+    std::vector<AttemptOutcome> attemptOutcomes_; ///< outcomes of the finished attempts
+    bool streaming_ = false;                      ///< the head of a stream was sent to the caller
+    bool plainResponseForwarded_ = false;         ///< a success, completely or in part
+    uint64_t forwardedEvents_ = 0;
+    std::optional<uint64_t> lastEventId_;
+    std::shared_ptr<Exchange> self_; ///< set while the request is open
 };
 
 } // namespace sequoiagate
