--- a/include/sequoiagate/History/History.h
+++ b/include/sequoiagate/History/History.h
@@ -54,7 +54,7 @@
     std::vector<HistoryEvent> events; ///< sorted by stamp
     std::vector<FinalBudget> budgets;
     std::vector<FinalBill> bills;
-    bool ledgerKnown = true; ///< false: budgets and bills weren't to be had, and aren't checked
+    bool ledgerAvailable = true; ///< false: budgets and bills weren't to be had, and aren't checked
 };
 
 /// Reads log files of JSON lines into one sorted list. Lines that aren't events
--- a/include/sequoiagate/Members/Dissemination.h
+++ b/include/sequoiagate/Members/Dissemination.h
@@ -1,8 +1,8 @@
 #ifndef SEQUOIAGATE_MEMBERS_DISSEMINATION_H
 #define SEQUOIAGATE_MEMBERS_DISSEMINATION_H
 
-/// Which changes of belief still ride on outgoing datagrams, and how often each
-/// has ridden.
+/// Tracks which membership changes are still piggybacked on outgoing datagrams, and
+/// how often each has been sent.
 
 #include <cstdint>
 #include <unordered_map>
@@ -16,17 +16,17 @@
 class Dissemination
 {
 public:
-    /// A change about \p member is to spread; one already spreading starts anew.
+    /// Queues a change about \p member. If one is already queued, its count restarts.
     void add(const Incarnation &member);
     void remove(const Incarnation &member);
-    /// At most \p limit members for the next datagram, those sent least often
-    /// first. Each is sent ceil(log2(members + 1)) + 4 times in all: with every node
-    /// doing so, a change reaches all of them with high probability (SWIM, section 4.1),
-    /// and what it costs a node grows with the logarithm only.
+    /// Returns at most \p limit members for the next datagram, those sent least often
+    /// first. Each is sent ceil(log2(members + 1)) + 4 times in total. If every node does
+    /// so, a change reaches all nodes with high probability (SWIM, section 4.1), and the
+    /// cost for each node grows only logarithmically.
     std::vector<Incarnation> take(std::size_t limit, std::size_t members);
 
 private:
-    std::unordered_map<Incarnation, uint32_t> sendings_;
+    std::unordered_map<Incarnation, uint32_t> transmissions_;
 };
 
 } // namespace sequoiagate
--- a/lib/History/Checks.cpp
+++ b/lib/History/Checks.cpp
@@ -86,7 +86,7 @@
 /// Every chat answered whole has one bill, and the bill is what some run cost.
 void checkBilledOnce(Check &check)
 {
-    if (!check.history().ledgerKnown) {
+    if (!check.history().ledgerAvailable) {
         return;
     }
     std::map<CallId, std::set<uint64_t>> costs;
--- a/lib/Keeper/Gossip.cpp
+++ b/lib/Keeper/Gossip.cpp
@@ -190,16 +190,16 @@
 
 void Gossip::flush()
 {
-    std::vector<GossipSend> sends;
+    std::vector<OutgoingGossip> sends;
     {
         absl::MutexLock lock(&mutex_);
-        for (GossipSend &send : membership_.takeSends()) {
+        for (OutgoingGossip &send : membership_.takeOutgoing()) {
             if (!blockedAddress(send.address)) {
                 sends.push_back(std::move(send));
             }
         }
     }
-    for (GossipSend &send : sends) {
+    for (OutgoingGossip &send : sends) {
         addExtras(send.message);
         socket_.send(send.address, send.message.SerializeAsString());
     }
--- a/lib/Members/Dissemination.cpp
+++ b/lib/Members/Dissemination.cpp
@@ -7,49 +7,52 @@
 
 namespace {
 
-/// Copies beyond the logarithm. Without them three copies a node carry a refutation
-/// among six members, and at 5% loss one now and then misses them all.
-constexpr uint32_t SpareSendings = 4;
+/// Transmissions in addition to the logarithmic number. Without them, each of six
+/// members sends only three copies of a refutation, and at 5% loss a member
+/// occasionally misses all of them.
+constexpr uint32_t ExtraTransmissions = 4;
 
 struct Candidate
 {
-    uint32_t sendings;
+    uint32_t transmissions;
     Incarnation member;
 };
 
-bool goesFirst(const Candidate &a, const Candidate &b)
+bool sentLessOften(const Candidate &a, const Candidate &b)
 {
-    return a.sendings != b.sendings ? a.sendings < b.sendings : a.member < b.member;
+    return a.transmissions != b.transmissions ? a.transmissions < b.transmissions
+                                              : a.member < b.member;
 }
 
 } // namespace
 
 void Dissemination::add(const Incarnation &member)
 {
-    sendings_[member] = 0;
+    transmissions_[member] = 0;
 }
 
 void Dissemination::remove(const Incarnation &member)
 {
-    sendings_.erase(member);
+    transmissions_.erase(member);
 }
 
 std::vector<Incarnation> Dissemination::take(std::size_t limit, std::size_t members)
 {
-    const auto maximumSendings = static_cast<uint32_t>(std::bit_width(members)) + SpareSendings;
+    const auto maxTransmissions =
+            static_cast<uint32_t>(std::bit_width(members)) + ExtraTransmissions;
     std::vector<Candidate> candidates;
-    for (const auto &[member, sendings] : sendings_) {
-        candidates.push_back({sendings, member});
+    for (const auto &[member, transmissions] : transmissions_) {
+        candidates.push_back({transmissions, member});
     }
     const std::size_t count = std::min(limit, candidates.size());
     std::partial_sort(candidates.begin(), candidates.begin() + static_cast<std::ptrdiff_t>(count),
-                      candidates.end(), goesFirst);
+                      candidates.end(), sentLessOften);
     std::vector<Incarnation> taken;
     for (std::size_t i = 0; i < count; ++i) {
         const Incarnation &member = candidates[i].member;
         taken.push_back(member);
-        if (++sendings_[member] >= maximumSendings) {
-            sendings_.erase(member);
+        if (++transmissions_[member] >= maxTransmissions) {
+            transmissions_.erase(member);
         }
     }
     return taken;
--- a/lib/Members/Entries.cpp
+++ b/lib/Members/Entries.cpp
@@ -2,19 +2,19 @@
 
 namespace sequoiagate {
 
-bool believedLive(wire::MemberHealth health)
+bool presumedAlive(wire::MemberHealth health)
 {
     return health == wire::MEMBER_ALIVE || health == wire::MEMBER_SUSPECT;
 }
 
 wire::MemberEntry compact(const wire::MemberEntry &entry)
 {
-    wire::MemberEntry small;
-    small.set_incarnation(entry.incarnation());
-    small.set_refutation(entry.refutation());
-    small.set_health(entry.health());
-    small.set_draining(entry.draining());
-    return small;
+    wire::MemberEntry result;
+    result.set_incarnation(entry.incarnation());
+    result.set_refutation(entry.refutation());
+    result.set_health(entry.health());
+    result.set_draining(entry.draining());
+    return result;
 }
 
 bool isCompact(const wire::MemberEntry &entry)
--- a/lib/Members/Entries.h
+++ b/lib/Members/Entries.h
@@ -1,7 +1,7 @@
 #ifndef SEQUOIAGATE_LIB_MEMBERS_ENTRIES_H
 #define SEQUOIAGATE_LIB_MEMBERS_ENTRIES_H
 
-/// Small questions about member entries. All thread safe.
+/// Helper functions for member entries. All are thread safe.
 
 #include "proto/keeper.pb.h"
 
@@ -9,10 +9,12 @@
 
 namespace sequoiagate {
 
-bool believedLive(wire::MemberHealth health);
+/// Returns true for alive and suspect members.
+bool presumedAlive(wire::MemberHealth health);
 
-/// The entry without what a peer that knows the member has already. A third of
-/// the bytes, and most of gossip is suspicions and refutations.
+/// Returns the entry without the fields that a peer that knows the member already
+/// has. This takes a third of the bytes, and most gossip is suspicions and
+/// refutations.
 wire::MemberEntry compact(const wire::MemberEntry &entry);
 bool isCompact(const wire::MemberEntry &entry);
 
--- a/lib/Members/HealthChart.h
+++ b/lib/Members/HealthChart.h
@@ -1,7 +1,7 @@
 #ifndef SEQUOIAGATE_LIB_MEMBERS_HEALTHCHART_H
 #define SEQUOIAGATE_LIB_MEMBERS_HEALTHCHART_H
 
-/// What share/statecharts/membership.json says of a member's health.
+/// The state chart of a member's health, share/statecharts/membership.json.
 
 #include <string_view>
 
@@ -11,11 +11,11 @@
 
 namespace sequoiagate {
 
-/// The chart, read at first use. Thread safe.
+/// Returns the chart, which is read at first use. Thread safe.
 /// \throws SettingsError, StatechartError
 const Statechart &healthChart();
 
-/// The health after \p event. \throws StatechartError for an unknown event.
+/// Returns the health after \p event. \throws StatechartError for an unknown event.
 wire::MemberHealth nextHealth(wire::MemberHealth health, std::string_view event);
 
 } // namespace sequoiagate
--- a/lib/Members/Membership.cpp
+++ b/lib/Members/Membership.cpp
@@ -11,15 +11,15 @@
 
 namespace {
 
-/// Peers that are told of a planned leave; they spread it.
+/// Number of peers that are notified of a planned leave; they disseminate it.
 constexpr std::size_t LeaveFanOut = 8;
-/// Probe periods for which a new member is spread with its addresses. After that
-/// whoever still lacks it learns it from the anti-entropy entries.
+/// Number of probe periods in which gossip about a new member includes its addresses.
+/// Members that don't know it by then learn it from the anti-entropy entries.
 constexpr int AnnouncePeriods = 60;
 
-/// Whether what \p entry says of an incarnation replaces \p known. Leaving is for
-/// good; else the higher refutation, and at the same one the worse health: only
-/// the member itself can raise the number (SWIM, section 4.2).
+/// Returns whether \p entry replaces \p known, an entry of the same incarnation.
+/// Leaving is final. Otherwise the higher refutation number wins, and at equal numbers
+/// the worse health: only the member itself can raise the number (SWIM, section 4.2).
 bool supersedes(const wire::MemberEntry &entry, const wire::MemberEntry &known)
 {
     if (known.health() == wire::MEMBER_LEFT || entry.health() == wire::MEMBER_LEFT) {
@@ -35,10 +35,10 @@
 
 Membership::Membership(wire::MemberEntry self, MembershipSettings settings, Instant now)
     : self_(std::move(self)), settings_(settings),
-      // Members share the settings' seed; with the same numbers all would probe in
-      // the same order and hit one peer at once.
+      // All members have the same seed in their settings. With the same random numbers
+      // they would probe in the same order and all hit one peer at once.
       random_(stableHash(self_.incarnation(), settings.seed)), nextProbe_(now),
-      nextLostProbe_(now + settings.deadProbePeriod),
+      nextDeadProbe_(now + settings.deadProbePeriod),
       nextFullExchange_(now + settings.deadProbePeriod), nextHealExchange_(now)
 {
     self_.set_health(wire::MEMBER_ALIVE);
@@ -63,12 +63,12 @@
     }
     const Member *known = find(incarnationOf(message.from()));
     const bool wasDead = known != nullptr && known->entry.health() == wire::MEMBER_DEAD;
-    learn(message.from(), now);
+    applyEntry(message.from(), now);
     if (message.from().health() != wire::MEMBER_LEFT) {
         declareReplaced(message.from(), now);
     }
     for (const wire::MemberEntry &entry : message.members()) {
-        learn(entry, now);
+        applyEntry(entry, now);
     }
     if (message.acknowledge()) {
         onAcknowledge(message);
@@ -76,7 +76,7 @@
         onProbe(message, now);
     }
     if (wasDead) {
-        askAllMembers(message.from(), now);
+        exchangeFullLists(message.from(), now);
     }
 }
 
@@ -85,7 +85,7 @@
     if (self_.health() == wire::MEMBER_LEFT) {
         return;
     }
-    forgiveOwnPause(now);
+    resetDeadlinesAfterPause(now);
     expireProbes(now);
     expireMembers(now);
     if (now >= nextProbe_) {
@@ -93,14 +93,14 @@
         probeNext(now);
         nextProbe_ = now + settings_.probePeriod;
     }
-    if (now >= nextLostProbe_) {
-        probeLost(now);
-        nextLostProbe_ = now + settings_.deadProbePeriod;
+    if (now >= nextDeadProbe_) {
+        probeDeadAndSeed(now);
+        nextDeadProbe_ = now + settings_.deadProbePeriod;
     }
     if (now >= nextFullExchange_) {
-        askSomebodyForAll(now);
-        // Soon after the start most of the others have just come, too: what one peer
-        // knows then is a part, and asking few of them twice as late each time merges it.
+        requestFullList(now);
+        // Soon after the start, most other members have just started too, and each peer
+        // knows only part of the list. A few requests with doubling delays merge the parts.
         const Interval early = settings_.deadProbePeriod * (1 << std::min(fullExchanges_, 8));
         nextFullExchange_ = now + std::min(early, settings_.fullExchangePeriod);
         ++fullExchanges_;
@@ -115,7 +115,7 @@
     self_.set_health(wire::MEMBER_LEFT);
     self_.set_refutation(self_.refutation() + 1);
     for (const Incarnation &peer : pickPeers(LeaveFanOut, Incarnation())) {
-        sends_.push_back({find(peer)->entry.gossip_address(), compose(peer, now)});
+        outgoing_.push_back({find(peer)->entry.gossip_address(), compose(peer, now)});
     }
 }
 
@@ -129,9 +129,9 @@
     dissemination_.add(incarnationOf(self_));
 }
 
-std::vector<GossipSend> Membership::takeSends()
+std::vector<OutgoingGossip> Membership::takeOutgoing()
 {
-    return std::exchange(sends_, {});
+    return std::exchange(outgoing_, {});
 }
 
 std::vector<MemberChange> Membership::takeChanges()
@@ -144,7 +144,7 @@
     if (self_.health() == wire::MEMBER_LEFT) {
         return Never;
     }
-    Instant next = std::min({nextProbe_, nextLostProbe_, nextFullExchange_});
+    Instant next = std::min({nextProbe_, nextDeadProbe_, nextFullExchange_});
     for (const Probe &probe : probes_) {
         next = std::min({next, probe.indirectDeadline, probe.failDeadline});
     }
@@ -172,10 +172,10 @@
         return self_.health() != wire::MEMBER_LEFT;
     }
     const auto found = members_.find(incarnation);
-    return found != members_.end() && believedLive(found->second.entry.health());
+    return found != members_.end() && presumedAlive(found->second.entry.health());
 }
 
-// ---- what is believed ----
+// ---- member states ----
 
 Membership::Member *Membership::find(const Incarnation &incarnation)
 {
@@ -183,7 +183,7 @@
     return found == members_.end() ? nullptr : &found->second;
 }
 
-void Membership::learn(const wire::MemberEntry &entry, Instant now)
+void Membership::applyEntry(const wire::MemberEntry &entry, Instant now)
 {
     if (entry.incarnation() == self_.incarnation()) {
         refute(entry);
@@ -191,9 +191,9 @@
     }
     Member *member = find(incarnationOf(entry));
     if (member == nullptr) {
-        // The dead and the left that aren't known were forgotten here: late gossip
-        // must not bring them back.
-        if (believedLive(entry.health()) && !isCompact(entry) && !entry.incarnation().empty()) {
+        // Unknown members that are dead or have left were removed here before: late
+        // gossip must not add them again.
+        if (presumedAlive(entry.health()) && !isCompact(entry) && !entry.incarnation().empty()) {
             add(entry, now);
         }
         return;
@@ -215,15 +215,16 @@
     const auto position = static_cast<std::ptrdiff_t>(randomBelow(probeOrder_.size() + 1));
     probeOrder_.insert(probeOrder_.begin() + position, incarnation);
     changes_.push_back({member.entry, wire::MEMBER_DEAD});
-    spread(member);
+    disseminate(member);
 }
 
-void Membership::refute(const wire::MemberEntry &rumour)
+void Membership::refute(const wire::MemberEntry &report)
 {
-    const bool wrong = self_.health() != wire::MEMBER_LEFT && rumour.health() != wire::MEMBER_ALIVE
-                       && rumour.refutation() >= self_.refutation();
-    if (wrong) {
-        self_.set_refutation(rumour.refutation() + 1);
+    const bool mustRefute = self_.health() != wire::MEMBER_LEFT
+                            && report.health() != wire::MEMBER_ALIVE
+                            && report.refutation() >= self_.refutation();
+    if (mustRefute) {
+        self_.set_refutation(report.refutation() + 1);
         dissemination_.add(incarnationOf(self_));
     }
 }
@@ -235,40 +236,42 @@
     if (entry.refutation() > member.entry.refutation()) {
         member.entry.set_refutation(entry.refutation());
         member.entry.set_draining(entry.draining());
-        handle(member, "refuted", now);
+        applyHealthEvent(member, "refuted", now);
     }
     if (entry.health() == wire::MEMBER_SUSPECT) {
-        handle(member, "suspected", now);
+        applyHealthEvent(member, "suspected", now);
     } else if (entry.health() == wire::MEMBER_DEAD) {
         if (member.entry.health() == wire::MEMBER_ALIVE) {
-            doubt(member, entry, now);
+            verifyReportedDeath(member, entry, now);
             return;
         }
-        handle(member, "declared_dead", now);
+        applyHealthEvent(member, "declared_dead", now);
     } else if (entry.health() == wire::MEMBER_LEFT) {
-        handle(member, "left", now);
+        applyHealthEvent(member, "left", now);
     }
-    if (drainingChanged && believedLive(member.entry.health())) {
+    if (drainingChanged && presumedAlive(member.entry.health())) {
         changes_.push_back({member.entry, member.entry.health()});
     }
-    spread(member);
+    disseminate(member);
 }
 
-/// When a partition heals, each side holds the other's members dead. Taken at its
-/// word, that would have every member believe its own neighbours dead until they
-/// refute it: a storm of false deaths. A death that comes as news is therefore asked of
-/// the member itself, which refutes it if it can; if it can't, this probe fails.
-void Membership::doubt(const Member &member, const wire::MemberEntry &rumour, Instant now)
+/// When a partition heals, each side has declared the other's members dead. If such
+/// reports were accepted, every member would declare members of its own side dead until
+/// they refute it: a burst of false deaths. A member that is reported dead while it is
+/// alive here is therefore probed first. It refutes the report, or the probe fails.
+void Membership::verifyReportedDeath(const Member &member, const wire::MemberEntry &report,
+                                     Instant now)
 {
     const Incarnation target = incarnationOf(member.entry);
-    const bool asked = std::any_of(probes_.begin(), probes_.end(),
-                                   [&](const Probe &probe) { return probe.target == target; });
-    if (!asked) {
-        startProbe(target, &rumour, now);
+    const bool alreadyProbed = std::any_of(probes_.begin(), probes_.end(), [&](const Probe &probe) {
+        return probe.target == target;
+    });
+    if (!alreadyProbed) {
+        startProbe(target, &report, now);
     }
 }
 
-void Membership::handle(Member &member, const char *event, Instant now)
+void Membership::applyHealthEvent(Member &member, const char *event, Instant now)
 {
     const wire::MemberHealth before = member.entry.health();
     const wire::MemberHealth after = nextHealth(before, event);
@@ -278,44 +281,45 @@
     member.entry.set_health(after);
     member.suspicionDeadline = Never;
     member.forgetDeadline = Never;
-    member.suspectedHere = false;
+    member.suspectedLocally = false;
     if (after == wire::MEMBER_SUSPECT) {
         member.suspicionDeadline = now + settings_.suspicionTime;
     } else if (after == wire::MEMBER_DEAD) {
-        const bool replaced = hostRunsOtherwise(member.entry);
-        member.forgetDeadline = now + (replaced ? settings_.leftMemory : settings_.deadMemory);
+        const bool replaced = hostHasOtherLiveIncarnation(member.entry);
+        member.forgetDeadline =
+                now + (replaced ? settings_.leftRetention : settings_.deadRetention);
     } else if (after == wire::MEMBER_LEFT) {
-        member.forgetDeadline = now + settings_.leftMemory;
+        member.forgetDeadline = now + settings_.leftRetention;
     }
     changes_.push_back({member.entry, before});
 }
 
-void Membership::spread(const Member &member)
+void Membership::disseminate(const Member &member)
 {
     dissemination_.add(incarnationOf(member.entry));
 }
 
-/// A socket address belongs to one process at a time: an older incarnation known
-/// under the sender's has ended, and need not be waited for.
+/// A socket address belongs to one process at a time. Another incarnation at the
+/// sender's address has terminated, and is declared dead without a suspicion period.
 void Membership::declareReplaced(const wire::MemberEntry &sender, Instant now)
 {
     for (auto &[incarnation, member] : members_) {
         const bool replaced = member.entry.gossip_address() == sender.gossip_address()
                               && member.entry.incarnation() != sender.incarnation()
-                              && believedLive(member.entry.health());
+                              && presumedAlive(member.entry.health());
         if (replaced) {
-            handle(member, "declared_dead", now);
-            spread(member);
+            applyHealthEvent(member, "declared_dead", now);
+            disseminate(member);
         }
     }
 }
 
-bool Membership::hostRunsOtherwise(const wire::MemberEntry &entry) const
+bool Membership::hostHasOtherLiveIncarnation(const wire::MemberEntry &entry) const
 {
     return std::any_of(members_.begin(), members_.end(), [&](const auto &row) {
         const wire::MemberEntry &other = row.second.entry;
         return other.host() == entry.host() && other.incarnation() != entry.incarnation()
-               && believedLive(other.health());
+               && presumedAlive(other.health());
     });
 }
 
--- a/lib/Members/MembershipMessages.cpp
+++ b/lib/Members/MembershipMessages.cpp
@@ -1,4 +1,4 @@
-/// What a membership answers, and what it puts into its datagrams.
+/// Membership: responses to messages, and composition of datagrams.
 
 #include <algorithm>
 #include <utility>
@@ -10,36 +10,37 @@
 
 namespace {
 
-/// Answers from seeds with the whole list that a joiner waits for: two, since
-/// part of one may be lost.
-constexpr uint32_t JoinAnswersWanted = 2;
+/// Number of acknowledgements after which probes stop requesting the full member list.
+/// More than one, since part of a list may be lost.
+constexpr uint32_t RequiredJoinResponses = 2;
 
 } // namespace
 
 void Membership::onAcknowledge(const wire::GossipMessage &message)
 {
-    if (joinAnswers_ < JoinAnswersWanted) {
-        ++joinAnswers_;
+    if (joinResponses_ < RequiredJoinResponses) {
+        ++joinResponses_;
     }
-    // An answer through a helper names whom it is about.
-    const Incarnation about(message.indirect_target().empty() ? message.from().incarnation()
-                                                              : message.indirect_target());
+    // The response to an indirect probe names the probed member.
+    const Incarnation probed(message.indirect_target().empty() ? message.from().incarnation()
+                                                               : message.indirect_target());
     std::erase_if(probes_, [&](const Probe &probe) {
-        return probe.number == message.probe() && probe.target == about;
+        return probe.number == message.probe() && probe.target == probed;
     });
-    for (const Relay &relay : relays_) {
-        if (relay.number != message.probe() || relay.target != about) {
+    for (const RelayedProbe &relayed : relayedProbes_) {
+        if (relayed.number != message.probe() || relayed.target != probed) {
             continue;
         }
-        wire::GossipMessage answer;
-        *answer.mutable_from() = self_;
-        *answer.add_members() = message.from();
-        answer.set_probe(relay.requesterNumber);
-        answer.set_acknowledge(true);
-        answer.set_indirect_target(about.text());
-        sends_.push_back({relay.requesterAddress, std::move(answer)});
+        wire::GossipMessage response;
+        *response.mutable_from() = self_;
+        *response.add_members() = message.from();
+        response.set_probe(relayed.requesterNumber);
+        response.set_acknowledge(true);
+        response.set_indirect_target(probed.text());
+        outgoing_.push_back({relayed.requesterAddress, std::move(response)});
     }
-    std::erase_if(relays_, [&](const Relay &relay) { return relay.number == message.probe(); });
+    std::erase_if(relayedProbes_,
+                  [&](const RelayedProbe &relayed) { return relayed.number == message.probe(); });
 }
 
 void Membership::onProbe(const wire::GossipMessage &message, Instant now)
@@ -52,16 +53,16 @@
         if (member == nullptr) {
             return;
         }
-        const uint64_t number = ++lastNumber_;
-        relays_.push_back(
+        const uint64_t number = ++lastProbeNumber_;
+        relayedProbes_.push_back(
                 {number, message.probe(), senderAddress, target, now + settings_.probePeriod});
         sendProbe(member->entry.gossip_address(), target, number, now);
         return;
     }
-    wire::GossipMessage answer = compose(sender, now);
-    answer.set_probe(message.probe());
-    answer.set_acknowledge(true);
-    sends_.push_back({senderAddress, std::move(answer)});
+    wire::GossipMessage response = compose(sender, now);
+    response.set_probe(message.probe());
+    response.set_acknowledge(true);
+    outgoing_.push_back({senderAddress, std::move(response)});
     if (message.join()) {
         sendAllMembers(senderAddress, sender);
     }
@@ -69,28 +70,29 @@
 
 void Membership::sendAllMembers(const std::string &address, const Incarnation &target)
 {
-    wire::GossipMessage part;
+    wire::GossipMessage message;
     const auto flush = [&] {
-        *part.mutable_from() = self_;
-        sends_.push_back({address, std::exchange(part, {})});
+        *message.mutable_from() = self_;
+        outgoing_.push_back({address, std::exchange(message, {})});
     };
     for (const auto &[incarnation, member] : members_) {
         if (incarnation == target) {
             continue;
         }
-        *part.add_members() = member.entry;
-        if (static_cast<uint32_t>(part.members_size()) >= settings_.maximumPiggyback) {
+        *message.add_members() = member.entry;
+        if (static_cast<uint32_t>(message.members_size()) >= settings_.maxPiggybackedEntries) {
             flush();
         }
     }
-    if (part.members_size() > 0) {
+    if (message.members_size() > 0) {
         flush();
     }
 }
 
-/// A member believed dead answers: a partition has healed, and it knows what
-/// became of the others over there. Asked seldom, since the answer holds all.
-void Membership::askAllMembers(const wire::MemberEntry &peer, Instant now)
+/// Called when a dead member responds: a partition has healed, and that member knows
+/// the state of the others on its side. The rate is limited, since the full lists are
+/// exchanged.
+void Membership::exchangeFullLists(const wire::MemberEntry &peer, Instant now)
 {
     if (now < nextHealExchange_) {
         return;
@@ -102,15 +104,16 @@
 
 void Membership::sendJoin(const wire::MemberEntry &peer, Instant now)
 {
-    wire::GossipMessage question = compose(incarnationOf(peer), now);
-    question.set_probe(++lastNumber_);
-    question.set_join(true);
-    sends_.push_back({peer.gossip_address(), std::move(question)});
+    wire::GossipMessage request = compose(incarnationOf(peer), now);
+    request.set_probe(++lastProbeNumber_);
+    request.set_join(true);
+    outgoing_.push_back({peer.gossip_address(), std::move(request)});
 }
 
-/// Hosts that all start at once get from their seeds only those that came before
-/// them, and one entry a datagram takes many minutes to bring hundreds of others.
-void Membership::askSomebodyForAll(Instant now)
+/// Hosts that start at the same time get from their seeds only the members that joined
+/// before them. With one anti-entropy entry per datagram, it would take many minutes to
+/// learn hundreds of others.
+void Membership::requestFullList(Instant now)
 {
     for (const Incarnation &peer : pickPeers(1, Incarnation())) {
         sendJoin(find(peer)->entry, now);
@@ -121,19 +124,19 @@
 {
     wire::GossipMessage message;
     *message.mutable_from() = self_;
-    const auto limit = static_cast<int>(settings_.maximumPiggyback);
-    // A member that is doubted is told so first of all: it can refute at once,
-    // instead of waiting until the rumour comes around.
-    const Member *doubted = find(target);
-    if (doubted != nullptr && doubted->entry.health() != wire::MEMBER_ALIVE) {
-        *message.add_members() = compact(doubted->entry);
+    const auto limit = static_cast<int>(settings_.maxPiggybackedEntries);
+    // A target that isn't considered alive gets its own entry first, so that it can
+    // refute it at once instead of when gossip delivers it.
+    const Member *targetMember = find(target);
+    if (targetMember != nullptr && targetMember->entry.health() != wire::MEMBER_ALIVE) {
+        *message.add_members() = compact(targetMember->entry);
     }
     const std::size_t room =
-            settings_.maximumPiggyback - static_cast<std::size_t>(message.members_size());
+            settings_.maxPiggybackedEntries - static_cast<std::size_t>(message.members_size());
     for (const Incarnation &incarnation : dissemination_.take(room, members_.size() + 1)) {
         const Member *member = find(incarnation);
         if (member == nullptr) {
-            continue; // self rides in `from`; others may have been forgotten
+            continue; // self is in `from`; others may have been removed
         }
         const bool full = now < member->announceDeadline;
         *message.add_members() = full ? member->entry : compact(member->entry);
@@ -144,8 +147,8 @@
     return message;
 }
 
-/// One entry in turn, whole, in each datagram with room: what all copies of a
-/// change missed by loss still gets through, in bounded time and bytes.
+/// Adds one full entry, in rotation, to each datagram that has room. A member that lost
+/// all copies of a change still learns it, in bounded time and with bounded traffic.
 void Membership::addAntiEntropy(wire::GossipMessage &message)
 {
     auto next = members_.upper_bound(antiEntropyPosition_);
@@ -164,8 +167,8 @@
 {
     wire::GossipMessage message = compose(target, now);
     message.set_probe(number);
-    message.set_join(joinAnswers_ < JoinAnswersWanted);
-    sends_.push_back({address, std::move(message)});
+    message.set_join(joinResponses_ < RequiredJoinResponses);
+    outgoing_.push_back({address, std::move(message)});
 }
 
 } // namespace sequoiagate
--- a/lib/Members/MembershipTimers.cpp
+++ b/lib/Members/MembershipTimers.cpp
@@ -1,4 +1,4 @@
-/// What a membership does by itself as time passes: probes, verdicts, forgetting.
+/// Membership: periodic probes, timeouts and removal of old entries.
 
 #include <algorithm>
 
@@ -9,21 +9,22 @@
 
 namespace {
 
-/// Probe periods before a suspect's time is up in which it is asked by all.
-constexpr int LastCalls = 2;
+/// Number of probe periods before the suspicion deadline in which every member probes
+/// the suspect.
+constexpr int FinalProbePeriods = 2;
 
 } // namespace
 
-/// A paused process finds all its probes overdue when it wakes, while the answers
-/// wait unread in its socket: it would suspect everybody. A tick that comes a
-/// whole period late therefore judges nobody.
-void Membership::forgiveOwnPause(Instant now)
+/// When a paused process resumes, all its probes are overdue while the responses are
+/// still unread in its socket, so it would suspect every member. A tick that is a whole
+/// period late therefore discards the probes and restarts the suspicion times.
+void Membership::resetDeadlinesAfterPause(Instant now)
 {
     if (now < nextProbe_ + settings_.probePeriod) {
         return;
     }
     probes_.clear();
-    relays_.clear();
+    relayedProbes_.clear();
     for (auto &[incarnation, member] : members_) {
         if (member.suspicionDeadline != Never) {
             member.suspicionDeadline = now + settings_.suspicionTime;
@@ -36,34 +37,35 @@
     for (Probe &probe : probes_) {
         if (now >= probe.indirectDeadline) {
             probe.indirectDeadline = Never;
-            askOthersToProbe(probe, now);
+            requestIndirectProbes(probe, now);
         }
         Member *member = find(probe.target);
         const bool failed = now >= probe.failDeadline && member != nullptr
                             && member->entry.health() == wire::MEMBER_ALIVE;
         if (failed) {
-            handle(*member, "suspected", now);
-            member->suspectedHere = true;
-            spread(*member);
+            applyHealthEvent(*member, "suspected", now);
+            member->suspectedLocally = true;
+            disseminate(*member);
         }
     }
     std::erase_if(probes_, [&](const Probe &probe) { return now >= probe.failDeadline; });
-    std::erase_if(relays_, [&](const Relay &relay) { return now >= relay.deadline; });
+    std::erase_if(relayedProbes_,
+                  [&](const RelayedProbe &relayed) { return now >= relayed.deadline; });
 }
 
 void Membership::expireMembers(Instant now)
 {
-    std::vector<Incarnation> forgotten;
+    std::vector<Incarnation> expired;
     for (auto &[incarnation, member] : members_) {
         if (now >= member.suspicionDeadline) {
-            handle(member, "declared_dead", now);
-            spread(member);
+            applyHealthEvent(member, "declared_dead", now);
+            disseminate(member);
         }
         if (now >= member.forgetDeadline) {
-            forgotten.push_back(incarnation);
+            expired.push_back(incarnation);
         }
     }
-    for (const Incarnation &incarnation : forgotten) {
+    for (const Incarnation &incarnation : expired) {
         members_.erase(incarnation);
         dissemination_.remove(incarnation);
         std::erase(probeOrder_, incarnation);
@@ -80,33 +82,35 @@
     startProbe(target, nullptr, now);
 }
 
-void Membership::startProbe(const Incarnation &target, const wire::MemberEntry *rumour, Instant now)
+void Membership::startProbe(const Incarnation &target, const wire::MemberEntry *report, Instant now)
 {
-    const uint64_t number = ++lastNumber_;
+    const uint64_t number = ++lastProbeNumber_;
     probes_.push_back({number, target, now + settings_.probeTimeout, now + settings_.probePeriod});
     sendProbe(find(target)->entry.gossip_address(), target, number, now);
-    if (rumour != nullptr) {
-        *sends_.back().message.add_members() = compact(*rumour);
+    if (report != nullptr) {
+        *outgoing_.back().message.add_members() = compact(*report);
     }
 }
 
-/// Who is suspected here is asked again each period: at 5% loss one more answer
-/// ends nearly all suspicions before they spread far. Who is suspected elsewhere is
-/// asked when its time is nearly up: gossip that lost all copies of its refutation
-/// to this member would otherwise kill it here. Asked at once, it would be flooded by all.
+/// A member suspected by this process is probed again in each period: at 5% loss, one
+/// more response ends nearly all suspicions before they spread far. A member suspected
+/// by others is probed only shortly before its deadline. Without that probe it would be
+/// declared dead here if all copies of its refutation were lost; if all members probed
+/// it at once, they would flood it.
 void Membership::probeSuspects(Instant now)
 {
     for (const auto &[incarnation, member] : members_) {
-        const bool lastCall = member.suspicionDeadline - now <= LastCalls * settings_.probePeriod;
-        const bool asked =
-                member.entry.health() == wire::MEMBER_SUSPECT && (member.suspectedHere || lastCall);
-        if (asked) {
-            sendProbe(member.entry.gossip_address(), incarnation, ++lastNumber_, now);
+        const bool nearDeadline =
+                member.suspicionDeadline - now <= FinalProbePeriods * settings_.probePeriod;
+        const bool probeAgain = member.entry.health() == wire::MEMBER_SUSPECT
+                                && (member.suspectedLocally || nearDeadline);
+        if (probeAgain) {
+            sendProbe(member.entry.gossip_address(), incarnation, ++lastProbeNumber_, now);
         }
     }
 }
 
-void Membership::probeLost(Instant now)
+void Membership::probeDeadAndSeed(Instant now)
 {
     std::vector<Incarnation> dead;
     for (const auto &[incarnation, member] : members_) {
@@ -116,7 +120,7 @@
     }
     if (!dead.empty()) {
         const Incarnation target = dead[randomBelow(dead.size())];
-        sendProbe(find(target)->entry.gossip_address(), target, ++lastNumber_, now);
+        sendProbe(find(target)->entry.gossip_address(), target, ++lastProbeNumber_, now);
     }
     probeSeed(now);
 }
@@ -129,28 +133,29 @@
     const std::string &address = seeds_[randomBelow(seeds_.size())];
     const bool known = std::any_of(members_.begin(), members_.end(), [&](const auto &row) {
         const wire::MemberEntry &entry = row.second.entry;
-        return entry.gossip_address() == address && believedLive(entry.health());
+        return entry.gossip_address() == address && presumedAlive(entry.health());
     });
     if (!known) {
-        sendProbe(address, Incarnation(), ++lastNumber_, now);
+        sendProbe(address, Incarnation(), ++lastProbeNumber_, now);
     }
 }
 
-void Membership::askOthersToProbe(const Probe &probe, Instant now)
+void Membership::requestIndirectProbes(const Probe &probe, Instant now)
 {
-    for (const Incarnation &helper : pickPeers(settings_.indirectProbes, probe.target)) {
-        wire::GossipMessage question = compose(helper, now);
-        question.set_probe(probe.number);
-        question.set_indirect_target(probe.target.text());
-        sends_.push_back({find(helper)->entry.gossip_address(), std::move(question)});
+    for (const Incarnation &peer : pickPeers(settings_.indirectProbes, probe.target)) {
+        wire::GossipMessage request = compose(peer, now);
+        request.set_probe(probe.number);
+        request.set_indirect_target(probe.target.text());
+        outgoing_.push_back({find(peer)->entry.gossip_address(), std::move(request)});
     }
 }
 
-/// Every member once a round, in an order shuffled for each round, so that a death
-/// is found within a bounded time (SWIM, section 4.3). Empty: nobody to probe.
+/// Returns every member once per round, in an order that is shuffled for each round, so
+/// that a failure is detected within a bounded time (SWIM, section 4.3). Returns an empty
+/// incarnation if there is no member to probe.
 Incarnation Membership::nextTarget()
 {
-    for (std::size_t tries = 0; tries < probeOrder_.size(); ++tries) {
+    for (std::size_t attempts = 0; attempts < probeOrder_.size(); ++attempts) {
         if (probePosition_ >= probeOrder_.size()) {
             probePosition_ = 0;
             std::shuffle(probeOrder_.begin(), probeOrder_.end(), random_);
--- a/tools/sequoia-check/Main.cpp
+++ b/tools/sequoia-check/Main.cpp
@@ -42,7 +42,7 @@
         history.bills = readBills(log, parsed["shards"].as<uint32_t>());
         history.budgets = readBudgets(log);
     } else {
-        history.ledgerKnown = false;
+        history.ledgerAvailable = false;
         fmt::print(stderr, "sequoia-check: without --log, budgets and bills aren't checked\n");
     }
     const std::vector<Violation> violations = checkHistory(history);
--- a/unittests/Support/GossipNetwork.cpp
+++ b/unittests/Support/GossipNetwork.cpp
@@ -111,7 +111,7 @@
 void GossipNetwork::drain(std::size_t index)
 {
     Membership &membership = *nodes_[index].membership;
-    for (const GossipSend &send : membership.takeSends()) {
+    for (const OutgoingGossip &send : membership.takeOutgoing()) {
         post(index, send);
     }
     for (MemberChange &change : membership.takeChanges()) {
@@ -120,7 +120,7 @@
     nodes_[index].deadline = membership.nextDeadline();
 }
 
-void GossipNetwork::post(std::size_t from, const GossipSend &send)
+void GossipNetwork::post(std::size_t from, const OutgoingGossip &send)
 {
     const std::size_t to = indexOf(send.address);
     const uint64_t size = send.message.ByteSizeLong() + HeaderBytes;
--- a/unittests/Support/GossipNetwork.h
+++ b/unittests/Support/GossipNetwork.h
@@ -91,7 +91,7 @@
     void start(std::size_t index);
     void step();
     void drain(std::size_t index);
-    void post(std::size_t from, const GossipSend &send);
+    void post(std::size_t from, const OutgoingGossip &send);
     bool cutOff(std::size_t a, std::size_t b) const;
 
     Options options_;
