--- a/lib/Decisions/Admission.cpp
+++ b/lib/Decisions/Admission.cpp
@@ -38,11 +38,11 @@
 {
     switch (reason) {
     case Reason::QueueTimeout:
-        return "the request would not have been served before its deadline";
+        return "it would not have been served before its end of waiting";
     case Reason::RateShare:
-        return "the workspace exceeds its fair share while other workspaces wait";
+        return "the workspace is beyond its fair share while others wait";
     default:
-        return "too many requests are waiting";
+        return "too many requests wait";
     }
 }
 
--- a/lib/Edge/TokenService.cpp
+++ b/lib/Edge/TokenService.cpp
@@ -584,9 +584,9 @@
 Verdict TokenService::shortfallVerdict(const WaitingRequest &waiting, Instant now) const
 {
     const BudgetState state = holder_.budgetState(waiting.workspace, waiting.tokens);
-    const std::string detail = fmt::format(
-            "{} tokens requested, {} available on this host, {} unallotted", waiting.tokens,
-            holder_.usable(waiting.workspace), holder_.unallotted(waiting.workspace));
+    const std::string detail =
+            fmt::format("{} tokens wanted, {} at hand, {} given to nobody", waiting.tokens,
+                        holder_.usable(waiting.workspace), holder_.unallotted(waiting.workspace));
     if (state == BudgetState::Unreachable) {
         return {Execution::NotRun, Reason::BudgetUnreachable, detail, now + RetryDelayWithoutStore};
     }
--- a/lib/Proxy/Exchange.cpp
+++ b/lib/Proxy/Exchange.cpp
@@ -92,7 +92,7 @@
 {
     const Instant now = request_.receivedAt;
     if (!config_) {
-        refuse({Execution::NotRun, Reason::NotReady, "no configuration has been loaded yet",
+        refuse({Execution::NotRun, Reason::NotReady, "no configuration is known yet",
                 now + RetryDelay});
         return false;
     }
@@ -103,7 +103,7 @@
     }
     route_ = config_->findRoute(*host, request_.head.target);
     if (route_ == nullptr) {
-        refuseByConfig(Reason::UnknownRoute, "no route matches the host and path");
+        refuseByConfig(Reason::UnknownRoute, "no route has that host and path");
         return false;
     }
     if (!route_->requiresApiKey) {
@@ -111,7 +111,7 @@
     }
     workspace_ = config_->findWorkspaceByKey(metadata_.key);
     if (workspace_ == nullptr) {
-        refuseByConfig(Reason::Unauthenticated, "no workspace has this API key");
+        refuseByConfig(Reason::Unauthenticated, "no workspace has that key");
         return false;
     }
     return true;
@@ -126,7 +126,7 @@
         total += candidate.weight;
     }
     if (total == 0) {
-        refuse({Execution::NotRun, Reason::NoEndpoint, "the route has no service with a weight",
+        refuse({Execution::NotRun, Reason::NoEndpoint, "the route leads nowhere",
                 request_.receivedAt + RetryDelay});
         return;
     }
@@ -139,13 +139,13 @@
         pick -= candidate.weight;
     }
     if (service_ == nullptr) {
-        refuse({Execution::NotRun, Reason::NoEndpoint, "the route's service is not configured",
+        refuse({Execution::NotRun, Reason::NoEndpoint, "the route's service isn't configured",
                 request_.receivedAt + RetryDelay});
         return;
     }
     const Instant now = std::chrono::steady_clock::now();
     if (context_.link.refuses(request_.body.size(), now)) {
-        refuse({Execution::NotRun, Reason::QueueFull, "this host's network link is saturated",
+        refuse({Execution::NotRun, Reason::QueueFull, "this host's link is full",
                 now + RetryElsewhereDelay});
         return;
     }
@@ -303,7 +303,7 @@
     recordLocalEnd(AttemptOutcome::Stalled);
     cancelAttempt(false);
     statechart_.handle("cut");
-    retryElsewhere("the endpoint sent no data in time");
+    retryElsewhere("the endpoint is silent");
 }
 
 bool Exchange::mayRetry() const
@@ -337,8 +337,7 @@
         // Further data on this connection can't be trusted either.
         attempt_->outcome = AttemptOutcome::ResponseRejected;
         cancelAttempt(false);
-        retryOrFail(isForOtherRequest ? "the response belongs to another request"
-                                      : "the response is unsigned or has a content encoding");
+        retryOrFail(isForOtherRequest ? "another request's answer came" : "the answer is spoilt");
         return;
     }
     if (metadata.notExecuted) {
@@ -391,7 +390,7 @@
     }
     if (attempt_->splitter.overflowed()) {
         cancelAttempt(false);
-        retryOrFail("an event exceeds the size limit");
+        retryOrFail("an event is too large");
         return;
     }
     if (attempt_->hasFirstEvent) {
@@ -406,7 +405,7 @@
 {
     if (event.id && lastEventId_ && *event.id != *lastEventId_ + 1) {
         cancelAttempt(false);
-        retryOrFail("the event ids are not consecutive");
+        retryOrFail("the events aren't in order");
         return false;
     }
     if (!attempt_->hasFirstEvent) {
@@ -447,7 +446,7 @@
     }
     if (attempt_->splitter.pending() > 0 || !attempt_->hasFirstEvent) {
         endAttempt(false);
-        retryOrFail("the stream ended inside an event or without one");
+        retryOrFail("the stream ended inside an event");
         return;
     }
     attempt_->outcome = AttemptOutcome::Completed;
@@ -465,17 +464,14 @@
         && context_.placement.mayRetry(service_->name, std::chrono::steady_clock::now())) {
         endAttempt(false);
         statechart_.handle("cut");
-        retryElsewhere(fmt::format("the endpoint responded with status {}", status));
+        retryElsewhere(fmt::format("the endpoint answered {}", status));
         return;
     }
     if (streaming_ && !attempt_->passThrough) {
         // The caller has received part of a stream that this endpoint should have resumed.
         // Ending it here in order would make that part look complete.
         endAttempt(!failed);
-        fail(Reason::StreamCut,
-             fmt::format("instead of resuming the stream the endpoint responded with status {}",
-                         status),
-             502);
+        fail(Reason::StreamCut, fmt::format("the stream was to go on, and {} came", status), 502);
         return;
     }
     const ResponseHead head = context_.dialect.encodeResponse(attempt_->head);
@@ -502,8 +498,7 @@
     attempt_->outcome = AttemptOutcome::NotExecuted;
     endAttempt(status != 421);
     statechart_.handle("not_run");
-    const std::string detail =
-            fmt::format("endpoint {} refused the request with status {}", endpoint.text(), status);
+    const std::string detail = fmt::format("endpoint {} refused with {}", endpoint.text(), status);
     const bool mayRetryNow =
             sendCount_ < route_->maxAttempts && context_.placement.mayRetry(service_->name, now);
     if (mayRetryNow) {
@@ -657,10 +652,10 @@
     }
     if (possibleExecutions_ > 0) {
         recordLocalEnd(AttemptOutcome::TimedOut);
-        fail(Reason::Timeout, "the request timed out", 504);
+        fail(Reason::Timeout, "the time for this request is over", 504);
         return;
     }
-    refuse({Execution::NotRun, Reason::Timeout, "the request timed out",
+    refuse({Execution::NotRun, Reason::Timeout, "the time for this request is over",
             std::chrono::steady_clock::now() + RetryDelay});
 }
 
@@ -684,7 +679,7 @@
     if (ended()) {
         return;
     }
-    const std::string detail = "the process is shutting down";
+    const std::string detail = "the process ends";
     if (possibleExecutions_ > 0) {
         recordLocalEnd(AttemptOutcome::Cancelled);
         fail(Reason::Draining, detail, 502);
--- a/lib/Proxy/HttpConnection.cpp
+++ b/lib/Proxy/HttpConnection.cpp
@@ -48,7 +48,7 @@
     connectTimer_.expires_after(settings_.connectTimeout);
     connectTimer_.async_wait([self = shared_from_this()](const ErrorCode &waited) {
         if (!waited && !self->connected_) {
-            self->failCall(CallFailure::NotConnected, "connection timed out");
+            self->failCall(CallFailure::NotConnected, "no connection in time");
         }
     });
     socket_.async_connect(address_, [self = shared_from_this()](const ErrorCode &connected) {
@@ -150,7 +150,7 @@
         return;
     }
     if (reader_->fault() != HttpParseError::None) {
-        failCall(CallFailure::MaybeSent, "malformed HTTP response");
+        failCall(CallFailure::MaybeSent, "not an HTTP answer");
         return;
     }
     if (!reader_->done()) {
