--- a/include/sequoiagate/Proxy/CallerConnection.h
+++ b/include/sequoiagate/Proxy/CallerConnection.h
@@ -44,7 +44,7 @@
 private:
     using ErrorCode = boost::system::error_code;
 
-    // ---- AnswerSink ----
+    // ---- ResponseSink ----
     void sendResponse(ResponseHead head, std::string_view body) override;
     void beginStream(ResponseHead head) override;
     void streamData(std::string_view bytes) override;
--- a/lib/Proxy/Exchange.cpp
+++ b/lib/Proxy/Exchange.cpp
@@ -190,8 +190,8 @@
     item.request = metadata_.id;
     item.workspace = workspace_ == nullptr ? WorkspaceId() : workspace_->name;
     item.service = service_->name;
-    const bool urgent = route_->priority == 0;
-    item.workClass = urgent ? WorkClass::Interactive : WorkClass::Batch;
+    const bool isInteractive = route_->priority == 0;
+    item.workClass = isInteractive ? WorkClass::Interactive : WorkClass::Batch;
     item.promptTokens = metadata_.promptTokens;
     item.outputCeiling = metadata_.maxOutputTokens;
     item.idempotent = route_->kind == RouteKind::Idempotent || route_->resumable;
