--- a/include/sequoiagate/Edge/TokenService.h
+++ b/include/sequoiagate/Edge/TokenService.h
@@ -59,15 +59,15 @@
     void stop(Instant deadline, std::function<void()> done);
     bool storeReachable() const { return follower_.reachable(); }
 
-    TokenRequestId reserve(const WorkspaceId &workspace, uint64_t tokens, Instant deadline,
-                           std::function<void(std::optional<Verdict>)> handler) override;
-    void cancel(TokenRequestId requestId) override;
+    ReservationTicket reserve(const WorkspaceId &workspace, uint64_t tokens, Instant deadline,
+                              std::function<void(std::optional<Verdict>)> handler) override;
+    void cancel(ReservationTicket requestId) override;
     void settle(const WorkspaceId &workspace, uint64_t reserved, uint64_t spent) override;
 
 private:
     struct WaitingRequest
     {
-        TokenRequestId requestId = 0;
+        ReservationTicket requestId = 0;
         WorkspaceId workspace;
         uint64_t tokens = 0;
         Instant since{};
@@ -130,7 +130,7 @@
     Instant startedAt_;
     std::list<WaitingRequest> waitingRequests_;
     std::unordered_map<WorkspaceId, Shortfall> shortfalls_;
-    TokenRequestId lastRequestId_ = 0;
+    ReservationTicket lastRequestId_ = 0;
 
     std::optional<StoreBatch> batch_; ///< the batch being written
     uint64_t nextSeq_ = 0;
--- a/include/sequoiagate/Proxy/ProxyContext.h
+++ b/include/sequoiagate/Proxy/ProxyContext.h
@@ -59,7 +59,7 @@
 };
 
 /// Identifies a pending token reservation.
-using TokenRequestId = uint64_t;
+using ReservationTicket = uint64_t;
 
 /// Reserves tokens of workspaces. Single-threaded.
 class TokenReservations
@@ -68,10 +68,11 @@
     virtual ~TokenReservations() = default;
     /// Calls \p handler, possibly from inside this call, with std::nullopt when the tokens are
     /// reserved, or with the verdict that refuses them.
-    virtual TokenRequestId reserve(const WorkspaceId &workspace, uint64_t tokens, Instant deadline,
-                                   std::function<void(std::optional<Verdict>)> handler) = 0;
+    virtual ReservationTicket reserve(const WorkspaceId &workspace, uint64_t tokens,
+                                      Instant deadline,
+                                      std::function<void(std::optional<Verdict>)> handler) = 0;
     /// Cancels a pending reservation; its handler isn't called.
-    virtual void cancel(TokenRequestId ticket) = 0;
+    virtual void cancel(ReservationTicket ticket) = 0;
     virtual void settle(const WorkspaceId &workspace, uint64_t reserved, uint64_t spent) = 0;
 };
 
--- a/lib/Edge/TokenService.cpp
+++ b/lib/Edge/TokenService.cpp
@@ -485,9 +485,9 @@
     retryAppendAt_ = now + (rejected ? RejectedAppendRetryDelay : AppendRetryDelay);
 }
 
-TokenRequestId TokenService::reserve(const WorkspaceId &workspace, uint64_t tokens,
-                                     Instant deadline,
-                                     std::function<void(std::optional<Verdict>)> handler)
+ReservationTicket TokenService::reserve(const WorkspaceId &workspace, uint64_t tokens,
+                                        Instant deadline,
+                                        std::function<void(std::optional<Verdict>)> handler)
 {
     const Instant now = std::chrono::steady_clock::now();
     if (holder_.reserve(workspace, tokens, now)) {
@@ -508,7 +508,7 @@
         refuse(shortfallVerdict(waiting, now));
         return 0;
     }
-    const TokenRequestId requestId = waiting.requestId;
+    const ReservationTicket requestId = waiting.requestId;
     waitingRequests_.push_back(std::move(waiting));
     updateRequiredTokens(workspace);
     writeBatch();
@@ -516,7 +516,7 @@
     return requestId;
 }
 
-void TokenService::cancel(TokenRequestId requestId)
+void TokenService::cancel(ReservationTicket requestId)
 {
     const auto found = std::find_if(
             waitingRequests_.begin(), waitingRequests_.end(),
--- a/lib/Proxy/Exchange.cpp
+++ b/lib/Proxy/Exchange.cpp
@@ -158,7 +158,7 @@
     statechart_.handle("reserve");
     reservedTokens_ = metadata_.promptTokens + metadata_.maxOutputTokens;
     const std::weak_ptr<Exchange> weak = weak_from_this();
-    const TokenRequestId ticket = context_.tokens.reserve(
+    const ReservationTicket ticket = context_.tokens.reserve(
             workspace_->name, reservedTokens_, deadline_, [weak](std::optional<Verdict> refusal) {
                 if (const std::shared_ptr<Exchange> self = weak.lock()) {
                     self->onReserved(std::move(refusal));
--- a/unittests/Proxy/ProxyTestHarness.cpp
+++ b/unittests/Proxy/ProxyTestHarness.cpp
@@ -149,8 +149,9 @@
     return Verdict{Execution::NotRun, Reason::NoEndpoint, "none is left", now};
 }
 
-TokenRequestId FakeTokenReservations::reserve(const WorkspaceId &, uint64_t tokens, Instant now,
-                                              std::function<void(std::optional<Verdict>)> handler)
+ReservationTicket
+FakeTokenReservations::reserve(const WorkspaceId &, uint64_t tokens, Instant now,
+                               std::function<void(std::optional<Verdict>)> handler)
 {
     if (tokens > usable) {
         handler(Verdict{Execution::NotRun, Reason::BudgetSpent, "spent", now});
--- a/unittests/Proxy/ProxyTestHarness.h
+++ b/unittests/Proxy/ProxyTestHarness.h
@@ -86,9 +86,9 @@
 class FakeTokenReservations : public TokenReservations
 {
 public:
-    TokenRequestId reserve(const WorkspaceId &, uint64_t tokens, Instant,
-                           std::function<void(std::optional<Verdict>)> handler) override;
-    void cancel(TokenRequestId) override {}
+    ReservationTicket reserve(const WorkspaceId &, uint64_t tokens, Instant,
+                              std::function<void(std::optional<Verdict>)> handler) override;
+    void cancel(ReservationTicket) override {}
     void settle(const WorkspaceId &, uint64_t reservedTokens, uint64_t spentTokens) override;
 
     uint64_t usable = 1'000'000;
