--- a/lib/Ledger/GrantHolder.cpp
+++ b/lib/Ledger/GrantHolder.cpp
@@ -13,7 +13,7 @@
 /// The size of a grant follows the demand averaged over an eighth of its horizon: with a shorter
 /// time, a burst claims tokens for hours; with a longer one, a rise in the morning requires many
 /// claims.
-constexpr int GrantDemandFraction = 8;
+constexpr int GrantDemandDivisor = 8;
 /// The size of a window follows the demand averaged over twice its horizon.
 constexpr int WindowDemandHorizons = 2;
 constexpr Interval TickInterval = std::chrono::seconds(1);
@@ -23,7 +23,7 @@
 GrantHolder::GrantHolder(WorkspaceId workspace, Incarnation self, GrantSettings settings,
                          GrantSafeguards safeguards)
     : workspace_(std::move(workspace)), self_(std::move(self)), settings_(settings),
-      safeguards_(safeguards), grantDemand_(settings.grantHorizon / GrantDemandFraction),
+      safeguards_(safeguards), grantDemand_(settings.grantHorizon / GrantDemandDivisor),
       windowDemand_(settings.windowHorizon * WindowDemandHorizons)
 {}
 
--- a/lib/Ledger/GrantUpkeep.cpp
+++ b/lib/Ledger/GrantUpkeep.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-/// A new claim is sent when less than this fraction of the horizon is left, so that it is confirmed
+/// A new claim is sent when less than the horizon divided by this is left, so that it is confirmed
 /// long before the windows are used up.
-constexpr int ClaimAheadFraction = 2;
+constexpr int ClaimAheadDivisor = 2;
 /// More idle tokens than for this many horizons: demand has moved to other holders.
 constexpr int IdleHorizons = 2;
 /// Number of windows that a holder keeps when other holders lack tokens, or after the log was
@@ -190,7 +190,7 @@
     if (!budget || budget->remainder() == 0 || budget->unmetTokens > 0) {
         return;
     }
-    const Interval ahead = settings_.grantHorizon / ClaimAheadFraction;
+    const Interval ahead = settings_.grantHorizon / ClaimAheadDivisor;
     if (unreservedTokens() < grantDemand_.expectedTokens(ahead, context.now)) {
         submitClaim(0, context);
     }
