--- a/include/sequoiagate/Base/Rendezvous.h
+++ b/include/sequoiagate/Base/Rendezvous.h
@@ -2,7 +2,7 @@
 #define SEQUOIAGATE_BASE_RENDEZVOUS_H
 
 /// Rendezvous (highest random weight) hashing: all processes with the same list of
-/// members pick the same one, and losing a member moves only its own keys. Uses
+/// members select the same one, and losing a member moves only its own keys. Uses
 /// xxHash, since absl::Hash and std::hash differ between processes.
 
 #include <cstdint>
--- a/include/sequoiagate/Config/ConfigFold.h
+++ b/include/sequoiagate/Config/ConfigFold.h
@@ -65,7 +65,7 @@
     void recordOutcome(const wire::Record &record, FoldOutcome outcome);
     void rebuildKeyIndex();
 
-    ConfigSafeguards safeguards_;
+    ConfigSafeguards safeguards_; ///< all on except in tests
     wire::ConfigState state_;
     std::unordered_map<Incarnation, uint64_t> lastSequences_;
     std::deque<RecordOutcome> outcomes_; ///< oldest first
--- a/include/sequoiagate/Config/ServingConfig.h
+++ b/include/sequoiagate/Config/ServingConfig.h
@@ -20,7 +20,7 @@
 enum class RouteKind {
     Idempotent,
     NonIdempotent,
-    Stream, ///< an event stream; Route::resumable tells whether it may be retried
+    Stream, ///< an event stream; Route::resumable: whether another endpoint may continue it
 };
 
 /// A target service of a route and its share of the route's requests.
@@ -41,10 +41,12 @@
     Interval latencyTarget = std::chrono::seconds(1); ///< until the first event or the response
     Interval eventGapTarget{};                        ///< longest gap between two events
     uint32_t priority = 5;                            ///< 0 is the highest
-    uint32_t maxAttempts = 1; ///< endpoints tried for one attempt of a caller
+    uint32_t maxAttempts = 1;                         ///< endpoints attempted per request
     bool requiresApiKey = true;
-    bool resumable = false;      ///< another endpoint may continue an interrupted stream
-    bool promptAffinity = false; ///< requests describe the parts of their prompts
+    bool resumable = false; ///< another endpoint may continue an interrupted stream
+    /// Callers describe the parts of their prompts, for placement by prompt prefix. Placement
+    /// doesn't read this flag: it uses the parts of every request that has them.
+    bool promptAffinity = false;
 };
 
 /// The properties that all endpoints of a service share.
@@ -97,7 +99,8 @@
     const ServiceSpec *findService(const ServiceId &name) const;
 
 private:
-    std::unordered_map<std::string, std::size_t> routeByKey_; ///< by routeKey()
+    /// By lower-case host and path prefix.
+    std::unordered_map<std::string, std::size_t> routeByKey_;
     std::unordered_map<std::string, std::size_t> workspaceByKey_;
     std::unordered_map<std::string, std::size_t> workspaceByName_;
     std::unordered_map<std::string, std::size_t> serviceByName_;
--- a/include/sequoiagate/Decisions/EndpointHealth.h
+++ b/include/sequoiagate/Decisions/EndpointHealth.h
@@ -38,8 +38,8 @@
 
 struct HealthSettings
 {
-    /// Times the peers' median. When an endpoint's own figure was a moving mean of up to 16
-    /// samples, 10% of those means reached 2.
+    /// A factor of the peers' median. Of moving means over up to 16 samples of an endpoint,
+    /// 10% reach 2.
     double slowFactor = 3.0;
     double failureMargin = 0.3;       ///< above the peers' median failure share
     double maxEjectedShare = 1.0 / 3; ///< of the peers; 0 turns ejection off
--- a/lib/Config/CsvReader.h
+++ b/lib/Config/CsvReader.h
@@ -22,7 +22,7 @@
 struct CsvText
 {
     std::vector<CsvRow> rows; ///< without blank lines
-    SheetErrors errors;       ///< lines that are invalid CSV, invalid text or truncated
+    SheetErrors errors;       ///< invalid CSV, invalid UTF-8, NUL bytes, truncated lines
 };
 
 /// Parses \p bytes as CSV (RFC 4180). Accepts a byte order mark and both LF and CRLF.
--- a/lib/Config/Sheet.cpp
+++ b/lib/Config/Sheet.cpp
@@ -41,8 +41,8 @@
     });
 }
 
-/// Why \p text isn't a valid number of tokens. \pre parseTokens(text) failed.
-std::string describeTokenError(std::string_view text)
+/// Why \p text isn't a valid number of tokens. \pre parseTokenCount(text) failed.
+std::string describeTokenCountError(std::string_view text)
 {
     if (text.empty()) {
         return "a whole number of tokens is required";
@@ -60,7 +60,7 @@
     return fmt::format("'{}' is greater than {}", text, UINT64_MAX);
 }
 
-std::optional<uint64_t> parseTokens(std::string_view text)
+std::optional<uint64_t> parseTokenCount(std::string_view text)
 {
     uint64_t tokens = 0;
     const auto result = std::from_chars(text.data(), text.data() + text.size(), tokens);
@@ -80,7 +80,7 @@
 /// Why a field is invalid; nullopt if it is valid.
 using FieldError = std::optional<std::string>;
 
-FieldError readWorkspace(std::string_view text, ParsedRow &row)
+FieldError parseWorkspace(std::string_view text, ParsedRow &row)
 {
     if (!isId(text)) {
         return fmt::format("'{}' is not a valid id: expected 1 to {} characters of a-z, A-Z, 0-9, "
@@ -91,7 +91,7 @@
     return std::nullopt;
 }
 
-FieldError readName(std::string_view text, ParsedRow &row)
+FieldError parseName(std::string_view text, ParsedRow &row)
 {
     if (text.empty() || text.size() > MaxNameLength) {
         return fmt::format("a name must have 1 to {} bytes", MaxNameLength);
@@ -100,17 +100,17 @@
     return std::nullopt;
 }
 
-FieldError readBudget(std::string_view text, ParsedRow &row)
+FieldError parseBudget(std::string_view text, ParsedRow &row)
 {
-    const std::optional<uint64_t> tokens = parseTokens(text);
+    const std::optional<uint64_t> tokens = parseTokenCount(text);
     if (!tokens) {
-        return describeTokenError(text);
+        return describeTokenCountError(text);
     }
     row.workspace.budgetTokens = *tokens;
     return std::nullopt;
 }
 
-FieldError readTopUpId(std::string_view text, ParsedRow &row)
+FieldError parseTopUpId(std::string_view text, ParsedRow &row)
 {
     if (!text.empty() && !isId(text)) {
         return fmt::format("'{}' is not a valid id: expected 1 to {} characters of a-z, A-Z, 0-9, "
@@ -121,14 +121,14 @@
     return std::nullopt;
 }
 
-FieldError readTopUpTokens(std::string_view text, ParsedRow &row)
+FieldError parseTopUpTokens(std::string_view text, ParsedRow &row)
 {
     if (text.empty()) {
         return std::nullopt;
     }
-    const std::optional<uint64_t> tokens = parseTokens(text);
+    const std::optional<uint64_t> tokens = parseTokenCount(text);
     if (!tokens) {
-        return describeTokenError(text);
+        return describeTokenCountError(text);
     }
     if (*tokens == 0) {
         return "a top-up must add at least one token";
@@ -146,7 +146,7 @@
     return text.substr(first, text.find_last_not_of(' ') - first + 1);
 }
 
-FieldError readServices(std::string_view text, ParsedRow &row)
+FieldError parseServices(std::string_view text, ParsedRow &row)
 {
     std::size_t from = 0;
     while (from <= text.size()) {
@@ -167,7 +167,7 @@
     return std::nullopt;
 }
 
-FieldError readWeight(std::string_view text, ParsedRow &row)
+FieldError parseWeight(std::string_view text, ParsedRow &row)
 {
     if (text.empty()) {
         return std::nullopt;
@@ -184,14 +184,14 @@
     return std::nullopt;
 }
 
-FieldError readMaxOutput(std::string_view text, ParsedRow &row)
+FieldError parseMaxOutput(std::string_view text, ParsedRow &row)
 {
     if (text.empty()) {
         return std::nullopt;
     }
-    const std::optional<uint64_t> tokens = parseTokens(text);
+    const std::optional<uint64_t> tokens = parseTokenCount(text);
     if (!tokens) {
-        return describeTokenError(text);
+        return describeTokenCountError(text);
     }
     row.workspace.maxOutputTokens = *tokens;
     return std::nullopt;
@@ -200,18 +200,18 @@
 struct Column
 {
     const char *name;
-    FieldError (*read)(std::string_view text, ParsedRow &row);
+    FieldError (*parse)(std::string_view text, ParsedRow &row);
 };
 
 constexpr std::array<Column, 8> Columns = {{
-        {"workspace", readWorkspace},
-        {"name", readName},
-        {"budget_tokens", readBudget},
-        {"top_up_id", readTopUpId},
-        {"top_up_tokens", readTopUpTokens},
-        {"services", readServices},
-        {"weight", readWeight},
-        {"max_output_tokens", readMaxOutput},
+        {"workspace", parseWorkspace},
+        {"name", parseName},
+        {"budget_tokens", parseBudget},
+        {"top_up_id", parseTopUpId},
+        {"top_up_tokens", parseTopUpTokens},
+        {"services", parseServices},
+        {"weight", parseWeight},
+        {"max_output_tokens", parseMaxOutput},
 }};
 
 /// Converts CSV rows into workspaces and collects all errors.
@@ -227,11 +227,11 @@
             }
             return std::move(errors_);
         }
-        readHeader(text.rows.front());
+        parseHeader(text.rows.front());
         // With an invalid header, fields would be assigned to the wrong columns.
         if (headerValid_) {
             for (std::size_t index = 1; index < text.rows.size(); ++index) {
-                readRow(text.rows[index]);
+                parseRow(text.rows[index]);
             }
             if (text.rows.size() == 1 && errors_.empty()) {
                 errors_.push_back({0, {}, "the file has a header but no rows"});
@@ -255,7 +255,7 @@
         errors_.push_back({line, std::move(column), std::move(reason)});
     }
 
-    void readHeader(const CsvRow &row)
+    void parseHeader(const CsvRow &row)
     {
         inHeader_ = true;
         std::unordered_set<std::string> seen;
@@ -279,7 +279,7 @@
         inHeader_ = false;
     }
 
-    void readRow(const CsvRow &row)
+    void parseRow(const CsvRow &row)
     {
         if (row.fields.size() != columnOrder_.size()) {
             const char *what =
@@ -294,7 +294,7 @@
         parsed.topUp.line = row.line;
         const std::size_t before = errors_.size();
         for (std::size_t index = 0; index < columnOrder_.size(); ++index) {
-            if (FieldError reason = columnOrder_[index]->read(row.fields[index], parsed)) {
+            if (FieldError reason = columnOrder_[index]->parse(row.fields[index], parsed)) {
                 addError(row.line, columnOrder_[index]->name, std::move(*reason));
             }
         }
