--- a/include/sequoiagate/History/History.h
+++ b/include/sequoiagate/History/History.h
@@ -1,8 +1,8 @@
 #ifndef SEQUOIAGATE_HISTORY_HISTORY_H
 #define SEQUOIAGATE_HISTORY_HISTORY_H
 
-/// The history of a run: the events of all processes and callers in one causal
-/// order, with what the run's log holds in the end.
+/// The history of a run: the events of all processes and callers in causal order, and
+/// the budgets and bills that the ledger holds at the end of the run.
 
 #include <cstdint>
 #include <optional>
@@ -16,7 +16,7 @@
 
 namespace sequoiagate {
 
-/// One line of some process's log.
+/// One log line of a process.
 struct HistoryEvent
 {
     std::string stamp; ///< hybrid logical clock; sorts as text
@@ -29,15 +29,15 @@
     std::string text(const char *key) const { return fields.value(key, std::string()); }
     uint64_t number(const char *key) const { return fields.value(key, uint64_t{0}); }
     bool flag(const char *key) const { return fields.value(key, false); }
-    /// The stamp's wall part.
+    /// Returns the wall clock part of the stamp.
     WallTime wall() const;
 };
 
-/// What the ledger holds at the end of the run for one workspace.
+/// A workspace's budget in the ledger at the end of the run.
 struct FinalBudget
 {
     WorkspaceId workspace;
-    uint64_t prepaid = 0; ///< the highest total that was ever in force
+    uint64_t prepaid = 0; ///< the highest total that was in force at any time
 };
 
 /// An accepted bill.
@@ -49,33 +49,34 @@
     bool inDoubt = false;
 };
 
+/// The input of the checks.
 struct History
 {
     std::vector<HistoryEvent> events; ///< sorted by stamp
     std::vector<FinalBudget> budgets;
     std::vector<FinalBill> bills;
-    bool ledgerAvailable = true; ///< false: budgets and bills weren't to be had, and aren't checked
+    bool ledgerAvailable = true; ///< false: budgets and bills are missing, and aren't checked
 };
 
-/// Reads log files of JSON lines into one sorted list. Lines that aren't events
-/// are left out; the last line of a killed process may be cut off.
+/// Reads log files of JSON lines into one list, sorted by stamp. Skips lines that aren't
+/// events, such as the truncated last line of a killed process.
 /// \throws std::runtime_error if a file can't be opened.
 std::vector<HistoryEvent> readEvents(const std::vector<std::string> &paths);
 
-/// Something that must hold and didn't.
+/// A violated property.
 struct Violation
 {
     std::string property; ///< the check's name
-    std::string what;     ///< one line for people, with the ids at fault
+    std::string what;     ///< human-readable, one line, with the ids concerned
 };
 
-/// Holds a run against what must always hold. Thread safe: reads only.
+/// Checks a run against all properties. Thread safe: only reads.
 std::vector<Violation> checkHistory(const History &history);
 
-/// The names of the checks, in the order that checkHistory runs them.
+/// Returns the names of the checks, in the order in which checkHistory runs them.
 std::vector<std::string> historyProperties();
 
-/// The violations as lines for a test's message.
+/// Formats the violations, one per line, for a test's failure message.
 std::string describe(const std::vector<Violation> &violations);
 
 } // namespace sequoiagate
--- a/lib/History/Checks.cpp
+++ b/lib/History/Checks.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-/// How long after an endpoint says that it leaves work may still reach it.
+/// How long work may still reach an endpoint after it announced that it leaves.
 constexpr Seconds LeavingGrace{3};
 
-/// Names one request or call: ids are scoped to a workspace.
+/// Identifies a request or call. Ids are unique within a workspace.
 struct CallId
 {
     std::string workspace;
@@ -39,7 +39,7 @@
     return fmt::format("workspace {} request {}", call.workspace, call.id);
 }
 
-/// What a check has to work with.
+/// Gives a check function access to the history, and collects its violations.
 class Check
 {
 public:
@@ -48,7 +48,7 @@
     {}
 
     const History &history() const { return history_; }
-    void violated(std::string what) { violations_.push_back({property_, std::move(what)}); }
+    void addViolation(std::string what) { violations_.push_back({property_, std::move(what)}); }
 
     template <typename Visit>
     void forEach(std::string_view name, const Visit &visit) const
@@ -66,8 +66,8 @@
     std::vector<Violation> &violations_;
 };
 
-/// Tokens that endpoints generated or read, by their own account, never pass what
-/// was prepaid.
+/// The tokens that endpoints report as read or generated never exceed the prepaid
+/// tokens.
 void checkOverspend(Check &check)
 {
     std::map<std::string, uint64_t> served;
@@ -77,13 +77,14 @@
     for (const FinalBudget &budget : check.history().budgets) {
         const uint64_t tokens = served[budget.workspace.text()];
         if (tokens > budget.prepaid) {
-            check.violated(fmt::format("workspace {} was served {} tokens of {} prepaid",
-                                       budget.workspace.text(), tokens, budget.prepaid));
+            check.addViolation(fmt::format("workspace {} was served {} tokens of {} prepaid",
+                                           budget.workspace.text(), tokens, budget.prepaid));
         }
     }
 }
 
-/// Every chat answered whole has one bill, and the bill is what some run cost.
+/// Every completely answered chat has exactly one bill, whose amount is the cost of one
+/// of its runs.
 void checkBilledOnce(Check &check)
 {
     if (!check.history().ledgerAvailable) {
@@ -97,92 +98,96 @@
     for (const FinalBill &bill : check.history().bills) {
         const CallId call{bill.workspace.text(), bill.request.text()};
         if (++bills[call] > 1) {
-            check.violated(describeCall(call) + " has more than one bill");
+            check.addViolation(describeCall(call) + " has more than one bill");
         }
         const bool matches = bill.inDoubt || bill.tokens == 0 || costs[call].count(bill.tokens) > 0;
         if (!matches) {
-            check.violated(fmt::format("{} is billed {} tokens, which no run of it cost",
-                                       describeCall(call), bill.tokens));
+            check.addViolation(fmt::format("{} is billed {} tokens, which no run of it cost",
+                                           describeCall(call), bill.tokens));
         }
     }
     check.forEach(events::CallerGot, [&](const HistoryEvent &event) {
         const bool wholeChat = event.flag("whole") && !event.text("request").empty();
         if (wholeChat && bills[requestOf(event)] == 0) {
-            check.violated(describeCall(requestOf(event)) + " was answered and never billed");
+            check.addViolation(describeCall(requestOf(event)) + " was answered and never billed");
         }
     });
 }
 
-/// An answer that the caller took for whole is what an endpoint made for just
-/// that request. Resumed streams hold a part only; their test joins the parts.
-void checkOwnAnswer(Check &check)
+/// A response that the caller considers complete was produced by an endpoint for that
+/// request. Resumed streams contain only a part; their own test joins the parts.
+void checkOwnResponse(Check &check)
 {
-    std::map<CallId, std::set<std::string>> answers;
+    std::map<CallId, std::set<std::string>> responses;
     check.forEach(events::EndpointRan, [&](const HistoryEvent &event) {
         if (!event.flag("cancelled")) {
-            answers[requestOf(event)].insert(event.text("answer_hash"));
+            responses[requestOf(event)].insert(event.text("answer_hash"));
         }
     });
     check.forEach(events::CallerGot, [&](const HistoryEvent &event) {
-        const bool judged = event.flag("whole") && !event.flag("resumes")
-                            && !event.text("request").empty()
-                            && event.fields.value("status", 0) == 200;
-        if (judged && answers[requestOf(event)].count(event.text("answer_hash")) == 0) {
-            check.violated(describeCall(requestOf(event))
-                           + " got an answer that no endpoint made for it");
+        const bool comparable = event.flag("whole") && !event.flag("resumes")
+                                && !event.text("request").empty()
+                                && event.fields.value("status", 0) == 200;
+        if (comparable && responses[requestOf(event)].count(event.text("answer_hash")) == 0) {
+            check.addViolation(describeCall(requestOf(event))
+                               + " got an answer that no endpoint made for it");
         }
     });
 }
 
-/// One try of a caller, from its sending to its answer.
-struct CallerTry
+/// One attempt of a caller, from sending the request to receiving the response.
+struct CallerAttempt
 {
     std::string sentStamp;
-    bool toldNotRun = false;
+    bool reportedNotRun = false;
 };
 
-/// Whatever reached an endpoint was sent by a caller who wasn't told "not run".
-/// A try that began later can't be the cause, and a try without an answer might.
+/// Each request received by an endpoint belongs to an attempt that wasn't reported to
+/// the caller as "not run". An attempt that began later can't be the cause; one without
+/// a response can.
 void checkNotRun(Check &check)
 {
-    std::map<CallId, std::map<std::string, CallerTry>> tries;
+    std::map<CallId, std::map<std::string, CallerAttempt>> attempts;
     const auto callOf = [](const HistoryEvent &event) {
         return event.text("key").empty() ? requestOf(event) : keyOf(event);
     };
     check.forEach(events::CallerSent, [&](const HistoryEvent &event) {
-        tries[callOf(event)][event.text("try")].sentStamp = event.stamp;
+        attempts[callOf(event)][event.text("try")].sentStamp = event.stamp;
     });
     check.forEach(events::CallerGot, [&](const HistoryEvent &event) {
-        tries[callOf(event)][event.text("try")].toldNotRun = event.text("execution") == "not_run";
+        attempts[callOf(event)][event.text("try")].reportedNotRun =
+                event.text("execution") == "not_run";
     });
     check.forEach(events::EndpointReceived, [&](const HistoryEvent &event) {
         const CallId call = callOf(event);
         bool known = false;
         bool explained = false;
-        for (const auto &[name, callerTry] : tries[call]) {
+        for (const auto &[name, attempt] : attempts[call]) {
             known = true;
-            explained |= !callerTry.toldNotRun && callerTry.sentStamp < event.stamp;
+            explained |= !attempt.reportedNotRun && attempt.sentStamp < event.stamp;
         }
         if (known && !explained) {
-            check.violated(describeCall(call) + " was said not to have run, and reached "
-                           + event.text("endpoint"));
+            check.addViolation(describeCall(call) + " was said not to have run, and reached "
+                               + event.text("endpoint"));
         }
     });
 }
 
-/// A call under an idempotency key took effect at most once.
+/// A call with an idempotency key that an endpoint doesn't treat as idempotent ran at
+/// most once.
 void checkAtMostOnce(Check &check)
 {
     std::map<CallId, int> runs;
     check.forEach(events::EndpointRan, [&](const HistoryEvent &event) {
-        const bool counts = !event.text("key").empty() && !event.flag("idempotent");
-        if (counts && ++runs[keyOf(event)] > 1) {
-            check.violated(describeCall(keyOf(event)) + " ran more than once");
+        const bool nonIdempotent = !event.text("key").empty() && !event.flag("idempotent");
+        if (nonIdempotent && ++runs[keyOf(event)] > 1) {
+            check.addViolation(describeCall(keyOf(event)) + " ran more than once");
         }
     });
 }
 
-/// Some seconds after an endpoint said that it leaves, no new work reaches it.
+/// No new work reaches an endpoint later than LeavingGrace after it announced that it
+/// leaves.
 void checkLeaving(Check &check)
 {
     std::map<std::string, WallTime> leaving;
@@ -192,25 +197,25 @@
     check.forEach(events::EndpointReceived, [&](const HistoryEvent &event) {
         const auto left = leaving.find(event.text("endpoint"));
         if (left != leaving.end() && event.wall() > left->second + LeavingGrace) {
-            check.violated(fmt::format("endpoint {} got {} after it had left",
-                                       event.text("endpoint"), describeCall(requestOf(event))));
+            check.addViolation(fmt::format("endpoint {} got {} after it had left",
+                                           event.text("endpoint"), describeCall(requestOf(event))));
         }
     });
 }
 
-/// A planned stop cuts nothing off and strands nothing.
+/// A planned stop interrupts no requests and leaves no tokens unreturned (stranded).
 void checkPlannedStop(Check &check)
 {
     check.forEach(events::ProcessStopped, [&](const HistoryEvent &event) {
         if (event.number("cut_off") > 0 || event.number("stranded_tokens") > 0) {
-            check.violated(fmt::format("{} on {} cut off {} requests and stranded {} tokens",
-                                       event.program, event.host.text(), event.number("cut_off"),
-                                       event.number("stranded_tokens")));
+            check.addViolation(fmt::format(
+                    "{} on {} cut off {} requests and stranded {} tokens", event.program,
+                    event.host.text(), event.number("cut_off"), event.number("stranded_tokens")));
         }
     });
 }
 
-/// On no host does a program go back to an older configuration, be it by a restart.
+/// A program on a host never returns to an older configuration, not even by a restart.
 void checkConfigNeverReverts(Check &check)
 {
     std::map<CallId, uint64_t> inForce;
@@ -218,8 +223,8 @@
         uint64_t &highest = inForce[{event.host.text(), event.program}];
         const uint64_t version = event.number("version");
         if (version < highest) {
-            check.violated(fmt::format("{} on {} went from version {} back to {}", event.program,
-                                       event.host.text(), highest, version));
+            check.addViolation(fmt::format("{} on {} went from version {} back to {}",
+                                           event.program, event.host.text(), highest, version));
         }
         highest = std::max(highest, version);
     });
@@ -234,7 +239,7 @@
 constexpr std::array Checks = {
         NamedCheck{"overspend", checkOverspend},
         NamedCheck{"billed_once", checkBilledOnce},
-        NamedCheck{"own_answer", checkOwnAnswer},
+        NamedCheck{"own_answer", checkOwnResponse},
         NamedCheck{"not_run_is_true", checkNotRun},
         NamedCheck{"at_most_once", checkAtMostOnce},
         NamedCheck{"leaving_endpoint", checkLeaving},
--- a/unittests/History/ChecksTest.cpp
+++ b/unittests/History/ChecksTest.cpp
@@ -1,5 +1,5 @@
-/// The checker against hand-made histories: each bad one must be found, under
-/// the property it breaks and no other; each good twin must pass.
+/// Runs the checks on constructed histories. Each invalid history must be reported under
+/// the property that it violates and no other; each valid counterpart must pass.
 
 #include "sequoiagate/History/History.h"
 
@@ -22,7 +22,7 @@
 struct Row
 {
     const char *name;
-    const char *property; ///< the one that must be found broken; empty: none
+    const char *property; ///< the property that must be reported; empty: none
     std::vector<Step> steps;
     std::vector<FinalBudget> budgets = {};
     std::vector<FinalBill> bills = {};
@@ -55,18 +55,18 @@
              {"answer_hash", hash}}};
 }
 
-Step sent(int at, const char *field, const char *id, const char *tryName)
+Step sent(int at, const char *field, const char *id, const char *attemptName)
 {
-    return {at, events::CallerSent, {{"workspace", "w"}, {field, id}, {"try", tryName}}};
+    return {at, events::CallerSent, {{"workspace", "w"}, {field, id}, {"try", attemptName}}};
 }
 
-Step notRun(int at, const char *field, const char *id, const char *tryName)
+Step notRun(int at, const char *field, const char *id, const char *attemptName)
 {
     return {at,
             events::CallerGot,
             {{"workspace", "w"},
              {field, id},
-             {"try", tryName},
+             {"try", attemptName},
              {"status", 503},
              {"execution", "not_run"}}};
 }
@@ -99,42 +99,49 @@
 }
 
 const Row Rows[] = {
-        {"SpentAll", None, {ran(1, "r", 10, "h")}, {{W, 10}}},
-        {"SpentBeyond", "overspend", {ran(1, "r", 10, "h"), ran(2, "s", 1, "h")}, {{W, 10}}},
+        {"SpentExactlyPrepaid", None, {ran(1, "r", 10, "h")}, {{W, 10}}},
+        {"SpentMoreThanPrepaid",
+         "overspend",
+         {ran(1, "r", 10, "h"), ran(2, "s", 1, "h")},
+         {{W, 10}}},
         {"BilledOnce", None, {ran(1, "r", 10, "h"), got(2, "r", "h")}, {}, {{W, R, 10}}},
         {"BilledTwice", "billed_once", {ran(1, "r", 10, "h")}, {}, {{W, R, 10}, {W, R, 10}}},
         {"NeverBilled", "billed_once", {ran(1, "r", 10, "h"), got(2, "r", "h")}},
-        {"BilledTooMuch", "billed_once", {ran(1, "r", 10, "h")}, {}, {{W, R, 11}}},
+        {"BilledMoreThanCost", "billed_once", {ran(1, "r", 10, "h")}, {}, {{W, R, 11}}},
         {"BilledInDoubt", None, {ran(1, "r", 10, "h")}, {}, {{W, R, 64, true}}},
-        {"SomebodyElsesAnswer",
+        {"ResponseOfOtherRequest",
          "own_answer",
          {ran(1, "r", 10, "h"), ran(1, "s", 10, "other"), got(2, "r", "other")},
          {},
          {{W, R, 10}}},
-        {"NotRunWasTrue", None, {sent(1, "request", "r", "a"), notRun(2, "request", "r", "a")}},
-        {"NotRunWasFalse",
+        {"NotRunReportedCorrectly",
+         None,
+         {sent(1, "request", "r", "a"), notRun(2, "request", "r", "a")}},
+        {"NotRunReportedAfterReceipt",
          "not_run_is_true",
          {sent(1, "request", "r", "a"), received(2, "request", "r"),
           notRun(3, "request", "r", "a")}},
-        {"NotRunThenRun",
+        {"NotRunThenRetried",
          None,
          {sent(1, "request", "r", "a"), notRun(2, "request", "r", "a"),
           sent(3, "request", "r", "b"), received(4, "request", "r")}},
-        {"NotRunThenRanLateAndSentAgain",
+        {"NotRunThenReceivedBeforeRetry",
          "not_run_is_true",
          {sent(1, "request", "r", "a"), notRun(2, "request", "r", "a"), received(3, "request", "r"),
           sent(4, "request", "r", "b")}},
-        {"KeyNotRunWasFalse",
+        {"KeyNotRunReportedAfterReceipt",
          "not_run_is_true",
          {sent(1, "key", "k", "a"), received(2, "key", "k"), notRun(3, "key", "k", "a")}},
         {"KeyRanOnce", None, {keyRan(1, "k"), keyRan(2, "l")}},
         {"KeyRanTwice", "at_most_once", {keyRan(1, "k"), keyRan(2, "k")}},
-        {"WorkWhileLeaving", None, {leaving(1000), received(3900, "request", "r")}},
-        {"WorkAfterLeaving", "leaving_endpoint", {leaving(1000), received(4100, "request", "r")}},
-        {"StoppedWell", None, {stopped(0, 0)}},
+        {"WorkWithinLeavingGrace", None, {leaving(1000), received(3900, "request", "r")}},
+        {"WorkAfterLeavingGrace",
+         "leaving_endpoint",
+         {leaving(1000), received(4100, "request", "r")}},
+        {"StoppedCleanly", None, {stopped(0, 0)}},
         {"StoppedWithOpenStream", "planned_stop", {stopped(1, 0)}},
-        {"StoppedWithGrant", "planned_stop", {stopped(0, 5)}},
-        {"ConfigRises", None, {inForce(1, 3), inForce(2, 3), inForce(3, 5)}},
+        {"StoppedWithStrandedTokens", "planned_stop", {stopped(0, 5)}},
+        {"ConfigVersionsIncrease", None, {inForce(1, 3), inForce(2, 3), inForce(3, 5)}},
         {"ConfigReverts", "config_never_reverts", {inForce(1, 3), inForce(2, 2)}},
 };
 
@@ -156,7 +163,7 @@
 class HistoryChecks : public testing::TestWithParam<Row>
 {};
 
-TEST_P(HistoryChecks, FindsJustWhatIsBroken)
+TEST_P(HistoryChecks, ReportsOnlyViolatedProperty)
 {
     const std::vector<Violation> violations = checkHistory(historyOf(GetParam()));
     const std::string expected = GetParam().property;
@@ -173,7 +180,7 @@
 INSTANTIATE_TEST_SUITE_P(Histories, HistoryChecks, testing::ValuesIn(Rows),
                          [](const auto &row) { return std::string(row.param.name); });
 
-TEST(HistoryChecks, EveryPropertyHasABadHistory)
+TEST(HistoryChecks, EveryPropertyHasAnInvalidHistory)
 {
     for (const std::string &property : historyProperties()) {
         const bool covered = std::any_of(std::begin(Rows), std::end(Rows),
