--- a/include/sequoiagate/Ledger/GrantSettings.h
+++ b/include/sequoiagate/Ledger/GrantSettings.h
@@ -2,6 +2,10 @@
 #define SEQUOIAGATE_LEDGER_GRANTSETTINGS_H
 
 /// Settings for grants.
+///
+/// A grant is an amount of tokens that a holder claims from a workspace's budget. The holder may
+/// spend only the part of it that the grant's witness has signed; each further part that the
+/// witness signs is a window. A grant without a witness needs no windows.
 
 #include <cstdint>
 
--- a/include/sequoiagate/Ledger/TokenHolder.h
+++ b/include/sequoiagate/Ledger/TokenHolder.h
@@ -222,8 +222,8 @@
     std::vector<WorkspaceId> workspaces() const;
 
 private:
-    /// Tokens that a peer requested and has not been given yet.
-    struct OpenRequest
+    /// Tokens that a peer lacks: it requested them and has not been given them yet.
+    struct UnmetPeerRequest
     {
         uint64_t tokens = 0;
         Instant until{}; ///< kept until then, so that the peer can request them again
@@ -240,15 +240,15 @@
         uint64_t usable = 0;   ///< may be reserved
         uint64_t reserved = 0; ///< of open requests
         uint64_t spent = 0;
-        uint64_t typicalReservation = 0;       ///< moving average of a reservation
-        uint64_t requiredTokens = 0;           ///< total for the waiting requests
-        std::vector<OpenRequest> openRequests; ///< of peers that lack tokens, oldest first
-        Allotment written;                     ///< by the last batch that is in the store
-        Allotment inFlight;                    ///< by the batch in flight
-        bool budgetLowered = false;   ///< and the holders' totals still exceed the lower budget
-        bool needsCorrection = false; ///< the row in the store differs from `owned`
-        Instant leftoverReturnAt{};   ///< when unused transferred tokens go back to a home
-        Instant nextRequestAt{};
+        uint64_t typicalReservation = 0;                 ///< moving average of a reservation
+        uint64_t requiredTokens = 0;                     ///< total for the waiting requests
+        std::vector<UnmetPeerRequest> unmetPeerRequests; ///< oldest first
+        Allotment written;                               ///< by the last batch that is in the store
+        Allotment inFlight;                              ///< by the batch in flight
+        bool budgetLowered = false;      ///< and the holders' totals still exceed the lower budget
+        bool needsCorrection = false;    ///< the row in the store differs from `owned`
+        Instant leftoverReturnAt{};      ///< when unused transferred tokens go back to a home
+        Instant nextPeerRequestAt{};     ///< earliest time of the next request to peers
         uint32_t unansweredRequests = 0; ///< consecutive
         uint32_t requestRounds = 0;      ///< for the requests that are waiting now
         uint32_t homes = 0;
@@ -306,7 +306,7 @@
     Instant lastBatchComposedAt_{}; ///< the last batch in the store
     uint64_t evaluatedThrough_ = 0; ///< claims of own rows below this offset were evaluated
     uint32_t holderCount_ = 1;
-    bool caughtUp_ = false; ///< the store's rows were read once
+    bool caughtUp_ = false; ///< all rows present at the start have been read
     bool storeReachable_ = false;
     bool stopping_ = false;
 };
--- a/lib/Ledger/GrantHolder.cpp
+++ b/lib/Ledger/GrantHolder.cpp
@@ -197,13 +197,13 @@
         return {};
     }
     assert(spent <= found->second.tokens && "a stream ends at its reservation");
-    uint64_t toSpend = std::min(spent, found->second.tokens);
-    grantDemand_.remove(found->second.tokens - toSpend, now);
-    windowDemand_.remove(found->second.tokens - toSpend, now);
+    uint64_t unassignedSpent = std::min(spent, found->second.tokens);
+    grantDemand_.remove(found->second.tokens - unassignedSpent, now);
+    windowDemand_.remove(found->second.tokens - unassignedSpent, now);
     std::vector<Draw> drawn;
     for (const Draw &draw : found->second.draws) {
-        const uint64_t part = std::min(toSpend, draw.tokens);
-        toSpend -= part;
+        const uint64_t part = std::min(unassignedSpent, draw.tokens);
+        unassignedSpent -= part;
         HeldGrant *held = find(draw.grant);
         assert(held && "a grant with reservations must not be removed");
         held->account.settle(draw.tokens, part);
--- a/lib/Ledger/LedgerFold.cpp
+++ b/lib/Ledger/LedgerFold.cpp
@@ -192,6 +192,8 @@
     if (writer.text() != claim.holder()) {
         return refused("only the holder itself claims");
     }
+    // A claim needs an id and tokens. Its witness may be empty (no witness), but can't be its
+    // holder.
     if (claim.tokens() == 0 || claim.grant().empty() || claim.witness() == claim.holder()) {
         return refused("a claim needs an id, tokens, and a witness other than its holder");
     }
@@ -238,6 +240,8 @@
     if (grant->holder != writer) {
         return refused("only the holder returns");
     }
+    // The grant must not become smaller than baseSigned, the total from which its current witness
+    // counts.
     if (grantReturn.tokens() > saturatingSub(grant->tokens, grant->baseSigned)) {
         return refused("less would be left than the witness counts from");
     }
--- a/lib/Ledger/TokenHolder.cpp
+++ b/lib/Ledger/TokenHolder.cpp
@@ -125,8 +125,8 @@
         return account.usable;
     }
     const uint64_t usedSoFar = used(account);
-    // Tokens from peers, beyond those that the store counts as this holder's, aren't limited by a
-    // row.
+    // Usable tokens beyond the owned ones were received from peers. The store counts them as the
+    // sender's, so this holder's row doesn't limit them.
     const uint64_t beyond = account.usable - std::min(account.usable, account.owned);
     const uint64_t left = limit - std::min(limit, usedSoFar) + beyond;
     return std::min(account.usable, left);
@@ -187,7 +187,7 @@
 uint64_t TokenHolder::tokensRequestedByPeers(const Account &account, Instant now)
 {
     uint64_t tokens = 0;
-    for (const OpenRequest &request : account.openRequests) {
+    for (const UnmetPeerRequest &request : account.unmetPeerRequests) {
         tokens += now < request.until ? request.tokens : 0;
     }
     return tokens;
@@ -196,10 +196,10 @@
 void TokenHolder::recordPeerRequest(Account &account, uint64_t tokens, bool isRepeat,
                                     Instant now) const
 {
-    std::vector<OpenRequest> &requests = account.openRequests;
+    std::vector<UnmetPeerRequest> &requests = account.unmetPeerRequests;
     requests.erase(
             std::remove_if(requests.begin(), requests.end(),
-                           [now](const OpenRequest &request) { return now >= request.until; }),
+                           [now](const UnmetPeerRequest &request) { return now >= request.until; }),
             requests.end());
     // A repeated request is for tokens that are already counted; a first one adds to those that
     // other peers requested.
@@ -212,7 +212,7 @@
 void TokenHolder::recordTransfer(Account &account, uint64_t tokens)
 {
     // An older request is more likely to have been served by another holder.
-    std::vector<OpenRequest> &requests = account.openRequests;
+    std::vector<UnmetPeerRequest> &requests = account.unmetPeerRequests;
     while (tokens > 0 && !requests.empty()) {
         const uint64_t served = std::min(tokens, requests.back().tokens);
         tokens -= served;
@@ -309,10 +309,10 @@
 uint64_t TokenHolder::maxIdleTokens(const WorkspaceId &workspace, const Account &account) const
 {
     const uint64_t left = unusedTokens(workspace, account);
-    const double leftPart =
+    const double remainingShare =
             static_cast<double>(left) / static_cast<double>(std::max<uint64_t>(account.prepaid, 1));
-    const double low = std::min(1.0, leftPart / settings_.lowBudgetShare);
-    return scaled(left, settings_.maxIdleShare * leftPart * low * low);
+    const double low = std::min(1.0, remainingShare / settings_.lowBudgetShare);
+    return scaled(left, settings_.maxIdleShare * remainingShare * low * low);
 }
 
 Interval TokenHolder::coveredPeriod(const WorkspaceId &workspace, const Account &account,
@@ -518,13 +518,13 @@
         const bool fromStore = storeReachable_ && unallotted(workspace) > 0;
         const bool runsLow =
                 !fromStore && account.usable < low && !reliesOnHomes(workspace, account, now);
-        if ((!lacksTokens && !runsLow) || now < account.nextRequestAt || stopping_) {
+        if ((!lacksTokens && !runsLow) || now < account.nextPeerRequestAt || stopping_) {
             continue;
         }
         // While requests are waiting, peers are asked as often as allowed.
         const uint32_t doublings =
                 std::min(account.unansweredRequests, settings_.maxBackoffDoublings);
-        account.nextRequestAt =
+        account.nextPeerRequestAt =
                 now
                 + (lacksTokens ? settings_.urgentRequestInterval
                                : settings_.routineRequestInterval * (1U << doublings));
--- a/unittests/Ledger/EscrowModelTest.cpp
+++ b/unittests/Ledger/EscrowModelTest.cpp
@@ -28,7 +28,23 @@
 /// The frequency of each step, in the order of EscrowOp: work often enough to use up the budget,
 /// faults often enough to coincide.
 constexpr std::array<std::size_t, static_cast<std::size_t>(EscrowOp::Count)> Weights = {
-        30, 15, 15, 25, 4, 4, 40, 20, 20, 4, 2, 4, 2, 8, 1, 2, 1,
+        30, // Reserve
+        15, // Settle
+        15, // Tick
+        25, // Append
+        4,  // AppendAnswerLost
+        4,  // LandLateCopy
+        40, // Read
+        20, // DeliverAsk
+        20, // DeliverReply
+        4,  // DoubleReply
+        2,  // SuspectHolder
+        4,  // SuspectWitness
+        2,  // LogAway
+        8,  // LogBack
+        1,  // TopUp
+        2,  // Restart
+        1,  // Drain
 };
 
 std::vector<EscrowOp> weightedOps()
--- a/unittests/Ledger/PowerLossTest.cpp
+++ b/unittests/Ledger/PowerLossTest.cpp
@@ -135,7 +135,8 @@
     expectQuarterServed(std::nullopt);
 }
 
-TEST(PowerLoss, QuarterIsServedIfPeersKeptRunning)
+// The time from the last batches to the start of the next processes is known to be at most 1700 ms.
+TEST(PowerLoss, QuarterIsServedIfElapsedTimeIsKnown)
 {
     expectQuarterServed(std::chrono::milliseconds(1700));
 }
--- a/unittests/Ledger/TokenHolderModelTest.cpp
+++ b/unittests/Ledger/TokenHolderModelTest.cpp
@@ -87,10 +87,10 @@
     Instant startedAt{}; ///< not running before
     Instant pausedUntil{};
     Millis startedAtTimeOfDay{};
-    Millis bootedAt{};        ///< simulated time at which the clock since boot was zero
-    Millis timeOfDayOffset{}; ///< offset of the time of day
-    uint64_t read = 0;        ///< offset in the log
-    bool isCut = false;
+    Millis bootedAt{};           ///< simulated time at which the clock since boot was zero
+    Millis timeOfDayOffset{};    ///< offset of the time of day
+    uint64_t read = 0;           ///< offset in the log
+    bool isPartitioned = false;  ///< from the store
     uint64_t transferredOut = 0; ///< to peers
     uint64_t transferredIn = 0;  ///< from peers
     std::map<uint64_t, bool> receivedTransfers;
@@ -235,7 +235,8 @@
         host.holder->setHolderCount(Hosts);
         host.holder->setStoreReachable(true);
         if (homes_) {
-            // Hosts may disagree on which of them are homes: that must cost nothing but time.
+            // Hosts may disagree on which of them are homes. This may delay requests, but must not
+            // cause overspending.
             host.holder->setHomes(Workspace, 2, homesRandom_() % 2 == 0);
         }
         if (before.hasBatchInFlight && chance(0.3)) {
@@ -256,7 +257,7 @@
     /// Requests clock readings from the peers in the last batch, or decides by their responses.
     void seal(Host &host)
     {
-        if (!host.sealing || host.sealing->decided || host.isCut
+        if (!host.sealing || host.sealing->decided || host.isPartitioned
             || stored_.count(host.incarnation) == 0) {
             return;
         }
@@ -435,7 +436,7 @@
 
     void sync(Host &host)
     {
-        if (host.isCut) {
+        if (host.isPartitioned) {
             return;
         }
         readAll(host);
@@ -555,9 +556,9 @@
         } else if (chance(0.1)) {
             outage();
         } else if (chance(0.5)) {
-            host.isCut = !host.isCut;
-            host.holder->setStoreReachable(!host.isCut);
-            now_ += std::chrono::milliseconds(host.isCut ? randomBelow(4000) : 0);
+            host.isPartitioned = !host.isPartitioned;
+            host.holder->setStoreReachable(!host.isPartitioned);
+            now_ += std::chrono::milliseconds(host.isPartitioned ? randomBelow(4000) : 0);
         } else if (chance(0.3)) {
             host.pausedUntil = now_ + std::chrono::milliseconds(randomBelow(6000));
         } else if (chance(0.4)) {
@@ -584,7 +585,7 @@
     /// end.
     void outage()
     {
-        setCut(true);
+        setPartitioned(true);
         for (uint64_t i = randomBelow(100); i > 0; --i) {
             now_ += std::chrono::milliseconds(randomBelow(120));
             Host &other = hosts_[randomBelow(hosts_.size())];
@@ -605,14 +606,14 @@
                 end(hosts_.front(), true);
             }
         }
-        setCut(false);
+        setPartitioned(false);
     }
 
-    void setCut(bool isCut)
+    void setPartitioned(bool isPartitioned)
     {
         for (Host &host : hosts_) {
-            host.isCut = isCut;
-            host.holder->setStoreReachable(!isCut);
+            host.isPartitioned = isPartitioned;
+            host.holder->setStoreReachable(!isPartitioned);
         }
     }
 
--- a/unittests/Ledger/TokenHomesTest.cpp
+++ b/unittests/Ledger/TokenHomesTest.cpp
@@ -30,7 +30,8 @@
 class TokenHomesInDomain : public testing::TestWithParam<HomeCountCase>
 {};
 
-// Guards against too many homes in a large fleet: claims queue behind the batches of all homes.
+// Guards against too many homes in a large fleet: the store appends batches one after another, so
+// every further home delays each claim.
 TEST_P(TokenHomesInDomain, HomeCountMatchesHostCount)
 {
     TokenHomes homes;
