--- a/include/sequoiagate/Edge/PeerLink.h
+++ b/include/sequoiagate/Edge/PeerLink.h
@@ -62,7 +62,7 @@
     struct Handlers
     {
         /// A peer requests tokens. \returns how many to transfer to it, already released by the
-        /// holder.
+        /// TokenHolder, so no longer counted there.
         std::function<uint64_t(const TokenRequest &)> onTokenRequest;
         std::function<HeldTokens(const WorkspaceId &)> held;
         std::function<void(const WorkspaceId &, uint64_t tokens)> onTokensReceived;
--- a/include/sequoiagate/Edge/TokenService.h
+++ b/include/sequoiagate/Edge/TokenService.h
@@ -61,13 +61,13 @@
 
     ReservationTicket reserve(const WorkspaceId &workspace, uint64_t tokens, Instant deadline,
                               std::function<void(std::optional<Verdict>)> handler) override;
-    void cancel(ReservationTicket requestId) override;
+    void cancel(ReservationTicket ticket) override;
     void settle(const WorkspaceId &workspace, uint64_t reserved, uint64_t spent) override;
 
 private:
     struct WaitingRequest
     {
-        ReservationTicket requestId = 0;
+        ReservationTicket ticket = 0;
         WorkspaceId workspace;
         uint64_t tokens = 0;
         Instant since{};
@@ -91,7 +91,7 @@
     void findPredecessor();
     void sealPredecessor(Instant now);
     /// Logs how many tokens of \p dead are returned and how many stay counted as spent.
-    /// \pre seals_ holds the rows of \p dead
+    /// \pre seals_ holds the final allotment rows of \p dead
     void logWrittenOffTokens(const Incarnation &dead, std::optional<Interval> elapsed);
     void requestClocks(Instant now);
     void onClockResponse(const ClockResponse &response);
@@ -126,11 +126,12 @@
     std::unique_ptr<PeerClocks> peerClocks_;
     std::optional<Peer> previousProcess_; ///< this host's previous process, as listed in the store
     std::unique_ptr<Predecessor> predecessor_; ///< until its token use is known
-    std::vector<AllotmentRow> seals_;          ///< to be written with the next batch
+    /// Final allotments of the previous process, to be written with the next batch.
+    std::vector<AllotmentRow> seals_;
     Instant startedAt_;
     std::list<WaitingRequest> waitingRequests_;
     std::unordered_map<WorkspaceId, Shortfall> shortfalls_;
-    ReservationTicket lastRequestId_ = 0;
+    ReservationTicket lastTicket_ = 0;
 
     std::optional<StoreBatch> batch_; ///< the batch being written
     uint64_t nextSeq_ = 0;
--- a/include/sequoiagate/Proxy/Dialect.h
+++ b/include/sequoiagate/Proxy/Dialect.h
@@ -55,7 +55,7 @@
     bool notExecuted = false; ///< the endpoint reports that it didn't run the request
     std::optional<Interval> keepAliveTimeout; ///< the endpoint closes idle connections after this
     bool isEventStream = false;
-    bool hasContentEncoding = false; ///< the body was transformed on the way
+    bool hasContentEncoding = false; ///< the body has a content coding (e.g. compressed)
     bool hasSignature = false;
 };
 
--- a/include/sequoiagate/Proxy/Exchange.h
+++ b/include/sequoiagate/Proxy/Exchange.h
@@ -139,7 +139,7 @@
     DeadlineTimer stallTimer_;
     Instant stallDeadline_ = Never; ///< when the endpoint counts as stalled
     bool stallTimerArmed_ = false;
-    std::optional<ReservationTicket> tokenRequest_;
+    std::optional<ReservationTicket> ticket_;
     uint64_t reservedTokens_ = 0;
     bool hasReservation_ = false;
     std::optional<Attempt> attempt_;
--- a/include/sequoiagate/Proxy/HttpConnection.h
+++ b/include/sequoiagate/Proxy/HttpConnection.h
@@ -84,9 +84,9 @@
     /// Whether it was ever established, closed or not. Before that no byte of a call was sent.
     bool wasConnected() const { return connected_; }
     Instant idleSince() const { return idleSince_; }
-    /// When the connection mustn't be reused any more, since the server announced its close.
-    Instant idleUntil() const { return idleUntil_; }
-    void setIdleUntil(Instant until) { idleUntil_ = until; }
+    /// The time from which the connection mustn't be reused, since the server announced its close.
+    Instant reusableUntil() const { return reusableUntil_; }
+    void setReusableUntil(Instant until) { reusableUntil_ = until; }
 
 private:
     using ErrorCode = boost::system::error_code;
@@ -111,7 +111,7 @@
     std::optional<ResponseReader> reader_;
     HttpCallObserver *observer_ = nullptr;
     Instant idleSince_{};
-    Instant idleUntil_ = Never;
+    Instant reusableUntil_ = Never;
     bool connected_ = false;
     bool closed_ = false;
     bool writing_ = false;
--- a/lib/Edge/EndpointDirectory.cpp
+++ b/lib/Edge/EndpointDirectory.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-/// Settings for choosing by this process's own requests alone. Reports of the endpoints' load cost
-/// extra, arrive late and add no information.
-EndpointSelectorSettings choiceSettings()
+/// Settings for selecting endpoints by this process's own requests alone. Reports of the endpoints'
+/// load cost extra, arrive late and add no information.
+EndpointSelectorSettings selectorSettings()
 {
     EndpointSelectorSettings settings;
     settings.boundExemptShare = 0.6;
@@ -63,7 +63,7 @@
 
 EndpointDirectory::EndpointDirectory(const DomainId &self, DistributedRetryBudgetSettings retries,
                                      EventLog &log)
-    : log_(log), selector_(self, choiceSettings()), retryBudget_(retries)
+    : log_(log), selector_(self, selectorSettings()), retryBudget_(retries)
 {}
 
 void EndpointDirectory::update(const EndpointEntry &entry, Instant now)
--- a/lib/Edge/LedgerRows.cpp
+++ b/lib/Edge/LedgerRows.cpp
@@ -85,7 +85,7 @@
     return LedgerRowKind::Unknown;
 }
 
-StoreRow encodeBudget(const AllotmentRow &row)
+StoreRow encodeAllotment(const AllotmentRow &row)
 {
     return {fmt::format("{}{}/{}", BudgetPrefix, row.holder.text(), row.workspace.text()),
             fmt::format("{} {} {}", row.allotment.tokens, row.allotment.maxUsed,
@@ -93,7 +93,7 @@
             0};
 }
 
-std::optional<AllotmentRow> decodeBudget(const StoreRow &row)
+std::optional<AllotmentRow> decodeAllotment(const StoreRow &row)
 {
     const std::string_view rest = std::string_view{row.key}.substr(BudgetPrefix.size());
     const std::size_t separator = rest.find(Separator);
--- a/lib/Edge/LedgerRows.h
+++ b/lib/Edge/LedgerRows.h
@@ -20,10 +20,10 @@
 
 LedgerRowKind ledgerRowKind(const std::string &key);
 
-StoreRow encodeBudget(const AllotmentRow &row);
-/// Decodes a row of encodeBudget; nullopt if it is malformed. A workspace's name may contain the
+StoreRow encodeAllotment(const AllotmentRow &row);
+/// Decodes a row of encodeAllotment; nullopt if it is malformed. A workspace's name may contain the
 /// separator.
-std::optional<AllotmentRow> decodeBudget(const StoreRow &row);
+std::optional<AllotmentRow> decodeAllotment(const StoreRow &row);
 
 /// A short id that distinguishes a process from the earlier and later ones of its host.
 std::string shortProcessId(const Incarnation &process);
--- a/lib/Edge/PeerClocks.cpp
+++ b/lib/Edge/PeerClocks.cpp
@@ -37,14 +37,14 @@
     }
 }
 
-void PeerClocks::onBatch(const Incarnation &holder, const StoreRow &row, Instant now)
+void PeerClocks::onBatch(const Incarnation &peer, const StoreRow &row, Instant now)
 {
-    batches_[holder] = {row, now};
+    batches_[peer] = {row, now};
 }
 
-std::optional<BatchHeader> PeerClocks::lastBatchOf(const Incarnation &holder) const
+std::optional<BatchHeader> PeerClocks::lastBatchOf(const Incarnation &peer) const
 {
-    const auto found = batches_.find(holder);
+    const auto found = batches_.find(peer);
     return found == batches_.end() ? std::nullopt : decodeBatch(found->second.row);
 }
 
--- a/lib/Edge/PeerClocks.h
+++ b/lib/Edge/PeerClocks.h
@@ -31,11 +31,11 @@
     explicit PeerClocks(HostId self) : self_(std::move(self)) {}
 
     void setPeers(const std::vector<Peer> &peers);
-    /// Stores \p row as the last batch of \p holder. Decoding is deferred until the batch is used,
-    /// since every host reads the batches of all others.
-    void onBatch(const Incarnation &holder, const StoreRow &row, Instant now);
-    /// The last batch read from \p holder; nullopt if there is none or it is malformed.
-    std::optional<BatchHeader> lastBatchOf(const Incarnation &holder) const;
+    /// Stores \p row as the last batch of the peer process \p peer. Decoding is deferred until
+    /// the batch is used, since every host reads the batches of all others.
+    void onBatch(const Incarnation &peer, const StoreRow &row, Instant now);
+    /// The last batch read from \p peer; nullopt if there is none or it is malformed.
+    std::optional<BatchHeader> lastBatchOf(const Incarnation &peer) const;
     void onResponse(const ClockResponse &response, Instant now);
     /// The addresses of the peers to query now; empty until the next request is due.
     std::vector<boost::asio::ip::udp::endpoint> peersToQuery(Instant now);
--- a/lib/Edge/TokenService.cpp
+++ b/lib/Edge/TokenService.cpp
@@ -200,7 +200,7 @@
 
 void TokenService::onBudgetRow(const StoreRow &row)
 {
-    const std::optional<AllotmentRow> parsed = decodeBudget(row);
+    const std::optional<AllotmentRow> parsed = decodeAllotment(row);
     if (!parsed) {
         log_.write(Event("ledger.malformed").with("key", row.key));
         return;
@@ -412,7 +412,7 @@
     batch.seq = nextSeq_;
     const std::optional<std::vector<AllotmentRow>> rows = holder_.nextBatch(now);
     for (const AllotmentRow &row : rows.value_or(std::vector<AllotmentRow>())) {
-        batch.rows.push_back(encodeBudget(row));
+        batch.rows.push_back(encodeAllotment(row));
     }
     batchHasClaims_ = !batch.rows.empty();
     if (rows) {
@@ -420,7 +420,7 @@
                 encodeBatch({settings_.incarnation, clock, peerClocks_->newestClocks(now)}));
     }
     for (const AllotmentRow &row : std::exchange(seals_, {})) {
-        batch.rows.push_back(encodeBudget(row));
+        batch.rows.push_back(encodeAllotment(row));
     }
     if (!hostRowQueued_) {
         batch.rows.push_back(encodeHost({settings_.host, settings_.domain, settings_.incarnation,
@@ -495,7 +495,7 @@
         return 0;
     }
     WaitingRequest waiting{
-            ++lastRequestId_,  workspace, tokens, now, std::min(deadline, now + MaxTokenWait),
+            ++lastTicket_,     workspace, tokens, now, std::min(deadline, now + MaxTokenWait),
             std::move(handler)};
     const auto recent = shortfalls_.find(workspace);
     const bool isShort = recent != shortfalls_.end() && now < recent->second.until
@@ -508,19 +508,19 @@
         refuse(shortfallVerdict(waiting, now));
         return 0;
     }
-    const ReservationTicket requestId = waiting.requestId;
+    const ReservationTicket ticket = waiting.ticket;
     waitingRequests_.push_back(std::move(waiting));
     updateRequiredTokens(workspace);
     writeBatch();
     requestFromPeers(now);
-    return requestId;
+    return ticket;
 }
 
-void TokenService::cancel(ReservationTicket requestId)
+void TokenService::cancel(ReservationTicket ticket)
 {
     const auto found = std::find_if(
             waitingRequests_.begin(), waitingRequests_.end(),
-            [requestId](const WaitingRequest &waiting) { return waiting.requestId == requestId; });
+            [ticket](const WaitingRequest &waiting) { return waiting.ticket == ticket; });
     if (found == waitingRequests_.end()) {
         return;
     }
--- a/lib/Proxy/CallerConnection.cpp
+++ b/lib/Proxy/CallerConnection.cpp
@@ -25,7 +25,7 @@
 constexpr Interval BodyTimeout = std::chrono::seconds(10);
 
 /// The advertised Keep-Alive timeout is shorter than the idle timeout by this margin, so that
-/// a request in flight doesn't meet the close of the connection.
+/// a request in flight doesn't race with the close of the connection.
 constexpr Interval IdleMargin = std::chrono::seconds(2);
 
 /// Closing a socket with unread bytes resets the connection, and the peer may lose a response
--- a/lib/Proxy/ConnectionPool.cpp
+++ b/lib/Proxy/ConnectionPool.cpp
@@ -27,7 +27,7 @@
             break;
         }
         found->second.pop_back();
-        if (connection->usable() && now < connection->idleUntil()) {
+        if (connection->usable() && now < connection->reusableUntil()) {
             return connection;
         }
         connection->cancel();
@@ -81,7 +81,7 @@
     for (auto &[address, idle] : idle_) {
         std::erase_if(idle, [this, now](const std::shared_ptr<HttpConnection> &connection) {
             const bool expired = now - connection->idleSince() > settings_.maxIdleTime
-                                 || now >= connection->idleUntil();
+                                 || now >= connection->reusableUntil();
             if (expired) {
                 connection->cancel();
             }
--- a/lib/Proxy/Exchange.cpp
+++ b/lib/Proxy/Exchange.cpp
@@ -165,13 +165,13 @@
                 }
             });
     if (!hasReservation_ && !ended()) {
-        tokenRequest_ = ticket;
+        ticket_ = ticket;
     }
 }
 
 void Exchange::onReserved(std::optional<Verdict> refusal)
 {
-    tokenRequest_.reset();
+    ticket_.reset();
     if (refusal && refusal->reason == Reason::BudgetSpent) {
         refuseByConfig(refusal->reason, refusal->detail);
         return;
@@ -322,7 +322,7 @@
         // Half a second less than the endpoint's own timeout: a request in flight when the
         // endpoint closes may have run.
         constexpr Interval Margin = std::chrono::milliseconds(500);
-        attempt_->connection->setIdleUntil(now + *metadata.keepAliveTimeout - Margin);
+        attempt_->connection->setReusableUntil(now + *metadata.keepAliveTimeout - Margin);
     }
     const bool isSuccess = head.status >= 200 && head.status < 300;
     const bool needsId = isSuccess && !metadata.notExecuted;
@@ -711,9 +711,9 @@
 
 void Exchange::settle()
 {
-    if (tokenRequest_) {
-        context_.tokens.cancel(*tokenRequest_);
-        tokenRequest_.reset();
+    if (ticket_) {
+        context_.tokens.cancel(*ticket_);
+        ticket_.reset();
     }
     if (hasReservation_) {
         hasReservation_ = false;
--- a/lib/Proxy/HttpConnection.cpp
+++ b/lib/Proxy/HttpConnection.cpp
@@ -21,7 +21,7 @@
     request_ = std::move(request);
     observer_ = &observer;
     headDelivered_ = false;
-    idleUntil_ = Never;
+    reusableUntil_ = Never;
     reader_.emplace(settings_.limits);
     if (connected_) {
         write();
--- a/lib/Proxy/Refusals.h
+++ b/lib/Proxy/Refusals.h
@@ -18,8 +18,8 @@
 inline constexpr Interval RetryElsewhereDelay = std::chrono::milliseconds(50);
 
 /// A non-idempotent request isn't sent on a connection that was idle for longer than this: if
-/// the endpoint closes or forgets the connection meanwhile, it resets the request, and it is
-/// unknown whether the request ran. Half of the shortest idle timeout of the endpoints.
+/// the endpoint closes or loses the connection meanwhile, it answers the request with a TCP reset,
+/// and it is unknown whether the request ran. Half of the shortest idle timeout of the endpoints.
 inline constexpr Interval MaxIdleForNonIdempotent = std::chrono::milliseconds(1000);
 
 /// Returns the HTTP status for refusing a request that hasn't run.
--- a/unittests/Edge/LedgerRowsTest.cpp
+++ b/unittests/Edge/LedgerRowsTest.cpp
@@ -14,9 +14,9 @@
 
 TEST(LedgerRows, RoundTrip)
 {
-    const StoreRow budget = encodeBudget({WorkspaceId("a/b"), Incarnation("i"), {700, 300, 40}});
+    const StoreRow budget = encodeAllotment({WorkspaceId("a/b"), Incarnation("i"), {700, 300, 40}});
     EXPECT_EQ(ledgerRowKind(budget.key), LedgerRowKind::Budget);
-    const std::optional<AllotmentRow> row = decodeBudget(budget);
+    const std::optional<AllotmentRow> row = decodeAllotment(budget);
     ASSERT_TRUE(row);
     EXPECT_EQ(row->workspace, WorkspaceId("a/b"));
     EXPECT_EQ(row->holder, Incarnation("i"));
@@ -86,7 +86,7 @@
 // as used, since the earlier version limited its use in another way than by a rate.
 TEST(LedgerRows, BudgetWithoutRateCountsAsFullyUsed)
 {
-    const std::optional<AllotmentRow> row = decodeBudget({"budget/i/w", "700 300", 0});
+    const std::optional<AllotmentRow> row = decodeAllotment({"budget/i/w", "700 300", 0});
     ASSERT_TRUE(row);
     EXPECT_EQ(row->allotment, (Allotment{700, 700, 0}));
 }
@@ -111,7 +111,7 @@
 
 TEST_P(MalformedBudget, IsRejected)
 {
-    EXPECT_FALSE(decodeBudget({GetParam().key, GetParam().value, 0}));
+    EXPECT_FALSE(decodeAllotment({GetParam().key, GetParam().value, 0}));
 }
 
 INSTANTIATE_TEST_SUITE_P(Rows, MalformedBudget, testing::ValuesIn(MalformedBudgets),
--- a/unittests/Edge/PeerClocksTest.cpp
+++ b/unittests/Edge/PeerClocksTest.cpp
@@ -45,8 +45,9 @@
 class PeerClocksResponseAge : public testing::TestWithParam<AgeCase>
 {};
 
-// Guards against naming clocks from old batches when newer responses are available: the bound on
-// the end of a killed process would grow by seconds, and its unused tokens would count as spent.
+// Guards against using clock readings from old batches when newer responses are available: the
+// bound on the end of a killed process would grow by seconds, and its unused tokens would count as
+// spent.
 TEST_P(PeerClocksResponseAge, PrefersUnexpiredResponses)
 {
     PeerClocks clocks{HostId("self")};
