--- a/include/sequoiagate/Members/Membership.h
+++ b/include/sequoiagate/Members/Membership.h
@@ -42,7 +42,7 @@
     Interval fullExchangePeriod = std::chrono::seconds(60);
     /// Minimum time between exchanges of full member lists with members that were
     /// declared dead and respond again after a partition.
-    Interval healExchangePeriod = std::chrono::seconds(30);
+    Interval minHealExchangeInterval = std::chrono::seconds(30);
 };
 
 /// A gossip message to send, with its destination.
@@ -87,8 +87,9 @@
     /// Returns all known members including self, sorted by host, then incarnation.
     std::vector<wire::MemberEntry> members() const;
     /// Returns whether \p incarnation is presumed alive. This includes suspects: most
-    /// suspicions are refuted, and moving a member's keys because of a lost datagram
-    /// would cost more than detecting a real failure two seconds later.
+    /// suspicions are refuted. Moving the keys that rendezvous hashing assigns to a
+    /// member, because of a lost datagram, would cost more than detecting a real failure
+    /// two seconds later.
     bool alive(const Incarnation &incarnation) const;
 
 private:
--- a/lib/History/Checks.cpp
+++ b/lib/History/Checks.cpp
@@ -15,7 +15,8 @@
 /// How long work may still reach an endpoint after it announced that it leaves.
 constexpr Seconds LeavingGrace{3};
 
-/// Identifies a request or call. Ids are unique within a workspace.
+/// Identifies a call by its request id or idempotency key, which are unique within a
+/// workspace.
 struct CallId
 {
     std::string workspace;
@@ -29,7 +30,7 @@
     return {event.text("workspace"), event.text("request")};
 }
 
-CallId keyOf(const HistoryEvent &event)
+CallId keyedCallOf(const HistoryEvent &event)
 {
     return {event.text("workspace"), event.text("key")};
 }
@@ -115,7 +116,8 @@
 }
 
 /// A response that the caller considers complete was produced by an endpoint for that
-/// request. Resumed streams contain only a part; their own test joins the parts.
+/// request. A resumed stream contains only a part and isn't compared here;
+/// test/Router/RouterTest.cpp joins the parts and compares the whole.
 void checkOwnResponse(Check &check)
 {
     std::map<CallId, std::set<std::string>> responses;
@@ -149,7 +151,7 @@
 {
     std::map<CallId, std::map<std::string, CallerAttempt>> attempts;
     const auto callOf = [](const HistoryEvent &event) {
-        return event.text("key").empty() ? requestOf(event) : keyOf(event);
+        return event.text("key").empty() ? requestOf(event) : keyedCallOf(event);
     };
     check.forEach(events::CallerSent, [&](const HistoryEvent &event) {
         attempts[callOf(event)][event.text("try")].sentStamp = event.stamp;
@@ -180,8 +182,8 @@
     std::map<CallId, int> runs;
     check.forEach(events::EndpointRan, [&](const HistoryEvent &event) {
         const bool nonIdempotent = !event.text("key").empty() && !event.flag("idempotent");
-        if (nonIdempotent && ++runs[keyOf(event)] > 1) {
-            check.addViolation(describeCall(keyOf(event)) + " ran more than once");
+        if (nonIdempotent && ++runs[keyedCallOf(event)] > 1) {
+            check.addViolation(describeCall(keyedCallOf(event)) + " ran more than once");
         }
     });
 }
--- a/lib/Members/HealthChart.cpp
+++ b/lib/Members/HealthChart.cpp
@@ -38,12 +38,13 @@
             return entry.health;
         }
     }
-    throw StatechartError("chart membership: state '" + std::string(state) + "' has no health");
+    throw StatechartError("chart membership: state '" + std::string(state)
+                          + "' matches no member health");
 }
 
 } // namespace
 
-const Statechart &healthChart()
+const Statechart &membershipChart()
 {
     static const Statechart Chart = Statechart::parse(readShareFile("statecharts/membership.json"));
     return Chart;
@@ -51,7 +52,7 @@
 
 wire::MemberHealth nextHealth(wire::MemberHealth health, std::string_view event)
 {
-    return healthOf(healthChart().next(stateOf(health), event));
+    return healthOf(membershipChart().next(stateOf(health), event));
 }
 
 } // namespace sequoiagate
--- a/lib/Members/HealthChart.h
+++ b/lib/Members/HealthChart.h
@@ -13,7 +13,7 @@
 
 /// Returns the chart, which is read at first use. Thread safe.
 /// \throws SettingsError, StatechartError
-const Statechart &healthChart();
+const Statechart &membershipChart();
 
 /// Returns the health after \p event. \throws StatechartError for an unknown event.
 wire::MemberHealth nextHealth(wire::MemberHealth health, std::string_view event);
--- a/lib/Members/Membership.cpp
+++ b/lib/Members/Membership.cpp
@@ -42,7 +42,7 @@
       nextFullExchange_(now + settings.deadProbePeriod), nextHealExchange_(now)
 {
     self_.set_health(wire::MEMBER_ALIVE);
-    healthChart();
+    membershipChart();
 }
 
 void Membership::seed(const std::vector<std::string> &gossipAddresses)
--- a/lib/Members/MembershipMessages.cpp
+++ b/lib/Members/MembershipMessages.cpp
@@ -97,7 +97,7 @@
     if (now < nextHealExchange_) {
         return;
     }
-    nextHealExchange_ = now + settings_.healExchangePeriod;
+    nextHealExchange_ = now + settings_.minHealExchangeInterval;
     sendJoin(peer, now);
     sendAllMembers(peer.gossip_address(), incarnationOf(peer));
 }
--- a/unittests/History/ChecksTest.cpp
+++ b/unittests/History/ChecksTest.cpp
@@ -76,7 +76,7 @@
     return {at, events::EndpointReceived, {{"workspace", "w"}, {field, id}, {"endpoint", "e"}}};
 }
 
-Step keyRan(int at, const char *key)
+Step ranWithKey(int at, const char *key)
 {
     return {at,
             events::EndpointRan,
@@ -132,8 +132,8 @@
         {"KeyNotRunReportedAfterReceipt",
          "not_run_is_true",
          {sent(1, "key", "k", "a"), received(2, "key", "k"), notRun(3, "key", "k", "a")}},
-        {"KeyRanOnce", None, {keyRan(1, "k"), keyRan(2, "l")}},
-        {"KeyRanTwice", "at_most_once", {keyRan(1, "k"), keyRan(2, "k")}},
+        {"KeyRanOnce", None, {ranWithKey(1, "k"), ranWithKey(2, "l")}},
+        {"KeyRanTwice", "at_most_once", {ranWithKey(1, "k"), ranWithKey(2, "k")}},
         {"WorkWithinLeavingGrace", None, {leaving(1000), received(3900, "request", "r")}},
         {"WorkAfterLeavingGrace",
          "leaving_endpoint",
